--- a/packages/daemon/src/createBackEndState/index.ts
+++ b/packages/daemon/src/createBackEndState/index.ts
@@ -1,47 +1,47 @@
-/** Whether the back end beside a daemon has ended, as the daemon itself can see. */
+/** Detects whether the back end beside a daemon has terminated. */
 import * as quarantine from '@switchridge/quarantine'
 import * as types from '@switchridge/types'
 
 /** Options of {@link createBackEndState}. */
 export interface BackEndStateOptions {
-  /** Where the back end listens: scheme, host and port. */
+  /** Base URL of the back end: scheme, host and port. */
   readonly url: string
-  /** Unique over the daemon's restarts; lives of the back end are counted within it. */
+  /** Unique across restarts of the daemon; prefixes the identifiers of the back end's process instances. */
   readonly name: string
   readonly probe: (address: types.Address, timeoutMs: number) => Promise<quarantine.ProbeResult>
 }
 
-/** The state. */
+/** Tracks the process instances of the back end beside one daemon. */
 export interface BackEndState {
-  /** The life that has ended, or null while the back end lives or nothing is known of it. */
+  /** Probes the back end; resolves to the process instance that terminated, or null while the back end runs or its state is unknown. */
   readonly readEndedLife: () => Promise<types.BackEndLife | null>
-  /** Notes that the back end answered: an end after it is that of another life. */
+  /** Records an answer of the back end: a later termination is that of another process instance. */
   readonly noteAnswer: () => void
 }
 
-/** The back end runs on the daemon's own machine, or next to it. */
-const PROBE_MS = 100
+/** Short, because the back end runs on the daemon's own machine or next to it. */
+const PROBE_TIMEOUT_MS = 100
 const DEFAULT_PORTS: Readonly<Record<string, number>> = { 'http:': 80, 'https:': 443 }
 
 /**
- * Creates the state of a back end that is taken to live.
+ * Creates the state of a back end that is assumed to be running.
  *
- * @param options - Where it listens.
+ * @param options - The back end's URL, the prefix for instance identifiers and the probe.
  * @returns The state.
  */
 export function createBackEndState (options: BackEndStateOptions): BackEndState {
   const { hostname, port, protocol } = new URL(options.url)
   const address = { host: hostname, port: port === '' ? DEFAULT_PORTS[protocol] ?? 0 : Number(port) }
-  let ends = 0
-  let hasEnded = false
+  let terminations = 0
+  let hasTerminated = false
   return {
-    noteAnswer: () => { hasEnded = false },
+    noteAnswer: () => { hasTerminated = false },
     readEndedLife: async () => {
-      const probe = await options.probe(address, PROBE_MS)
+      const probe = await options.probe(address, PROBE_TIMEOUT_MS)
       if (quarantine.judgeEnd({ isCutByPeer: true, isLeaving: false, probe }) !== 'ended') return null
-      if (!hasEnded) ends += 1
-      hasEnded = true
-      return types.brandId<types.BackEndLife>(`${options.name}/${ends}`)
+      if (!hasTerminated) terminations += 1
+      hasTerminated = true
+      return types.brandId<types.BackEndLife>(`${options.name}/${terminations}`)
     }
   }
 }
--- a/packages/daemon/src/createBackEndState/test.ts
+++ b/packages/daemon/src/createBackEndState/test.ts
@@ -3,7 +3,7 @@
 import type * as quarantine from '@switchridge/quarantine'
 import * as createBackEndState from './index.js'
 
-nodeTest.test('each end of a back end has its own name, however often it is asked for', async () => {
+nodeTest.test('each termination of a back end has its own identifier, however often it is read', async () => {
   let probe: quarantine.ProbeResult = 'taken'
   const asked: string[] = []
   const state = createBackEndState.createBackEndState({
--- a/packages/daemon/src/createBackendCalls/index.ts
+++ b/packages/daemon/src/createBackendCalls/index.ts
@@ -1,4 +1,4 @@
-/** Runs calls on the back end beside this daemon: slot first, then ticket, version, back end. */
+/** Runs calls on the back end beside this daemon. Each passes the ticket check, version selection and admission before the back end receives it. */
 import type * as http from 'node:http'
 import type * as Koa from 'koa'
 import * as zod from 'zod'
@@ -10,7 +10,7 @@
 import * as callHeaders from '../_lib/callHeaders.js'
 import * as sendStream from '../_lib/sendStream.js'
 
-/** What the entry node says of a call. */
+/** The call description that an entry node sends along with a call. */
 export const callSchema = zod.object({
   service: zod.string(),
   row: zod.string(),
@@ -37,11 +37,11 @@
   readonly agents: rpc.HttpAgents
   readonly uplink: transfer.LinkPacer
   readonly count: (name: string) => void
-  /** Told of an entry node that was refused because all slots are taken. */
+  /** Called with the entry node of a call that was refused because the queue for slots was full. */
   readonly onRefused: (entryNode: types.NodeId) => void
-  /** Calls an action after so many milliseconds, those of a suspension included; returns what cancels it. */
+  /** Schedules an action after a delay in milliseconds that includes time spent suspended; returns a function that cancels it. */
   readonly after: (milliseconds: number, action: () => void) => () => void
-  /** Told of each answer that the back end begins. */
+  /** Called when the back end's response headers arrive. */
   readonly onAnswer: () => void
 }
 
@@ -52,7 +52,7 @@
 /**
  * Creates the middleware for `POST /calls/...`.
  *
- * @param options - Back end, admission and tickets.
+ * @param options - Back end, admission control and tickets.
  * @returns A koa middleware.
  */
 export function createBackendCalls (options: BackendCallsOptions): Koa.Middleware {
@@ -98,13 +98,13 @@
       return
     }
     try {
-      await run(context, call, ticket, served)
+      await execute(context, call, ticket, served)
     } finally {
       slot.value()
     }
   }
 
-  async function run (context: Koa.Context, call: Call, ticket: types.TicketId, served: types.ServedVersion | undefined): Promise<void> {
+  async function execute (context: Koa.Context, call: Call, ticket: types.TicketId, served: types.ServedVersion | undefined): Promise<void> {
     const body = await rpc.readBody(context.req, types.MAXIMUM_CALL_BODY_BYTES)
     if (!body.ok) {
       tickets.refuse(ticket)
@@ -126,7 +126,7 @@
       answerWrongVersion(context, ticket, started.value)
       return
     }
-    await passOn(context, started.value, served)
+    await forwardResponse(context, started.value, served)
     tickets.finish(ticket)
   }
 
@@ -143,7 +143,7 @@
     })
   }
 
-  /** Nothing reached the back end when the connection was refused; any later failure leaves that open. */
+  /** A refused connection proves that the call did not run; after any other failure it may have run. */
   function answerFailure (context: Koa.Context, ticket: types.TicketId, error: Error & { readonly code?: string }): void {
     if (CONNECT_ERRORS.has(error.code ?? '')) {
       tickets.refuse(ticket)
@@ -174,7 +174,7 @@
     answerFailure(context, ticket, new Error('the engine answered from another version'))
   }
 
-  async function passOn (context: Koa.Context, response: http.IncomingMessage, served: types.ServedVersion | undefined): Promise<void> {
+  async function forwardResponse (context: Koa.Context, response: http.IncomingMessage, served: types.ServedVersion | undefined): Promise<void> {
     context.status = response.statusCode ?? 502
     for (const [name, value] of Object.entries(callHeaders.copyHeaders(response.headers))) context.set(name, value)
     if (response.headers['content-length'] !== undefined) context.set('content-length', response.headers['content-length'])
@@ -183,8 +183,8 @@
     if (served !== undefined) context.set(callHeaders.VERSION_HEADER, `${served.row}@${served.version}`)
     response.on('data', (part: Buffer) => { options.uplink.spend(part.length) })
     response.pause()
-    const isWhole = await sendStream.sendStream(context, response)
-    options.count(isWhole ? 'calls.answered' : 'calls.broken')
+    const isComplete = await sendStream.sendStream(context, response)
+    options.count(isComplete ? 'calls.answered' : 'calls.broken')
   }
 
   function refuse (context: Koa.Context, reason: string): void {
--- a/packages/daemon/src/createBlockArchive/index.ts
+++ b/packages/daemon/src/createBlockArchive/index.ts
@@ -1,4 +1,4 @@
-/** Blocks of calls in the platform's store, so that they outlast a return of all daemons at once. */
+/** Persists blocks of calls in the platform's store, so that they survive a simultaneous restart of all daemons. */
 import * as zod from 'zod'
 import * as platform from '@switchridge/platform'
 import * as quarantine from '@switchridge/quarantine'
@@ -10,57 +10,57 @@
 export interface BlockArchiveOptions {
   readonly store: Pick<store.CollectionStore, 'listAll' | 'put' | 'remove'>
   readonly limits: Pick<quarantine.QuarantineLimits, 'blockMs' | 'maximumBlockMs'>
-  /** Whether this daemon asks the store for others, too; only such a one reads blocks. */
-  readonly mayAsk: () => boolean
-  /** Told of each block that is read and may still matter. */
+  /** Whether this daemon currently reads the store on behalf of others; only such daemons load blocks. */
+  readonly mayAskStore: () => boolean
+  /** Called with each loaded block that may still be in force. */
   readonly onBlock: (block: quarantine.CallBlock) => void
   /** Whether a block is still in force. */
   readonly isInForce: (block: quarantine.CallBlock) => boolean
   readonly logger: observability.Logger
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
-  /** Unix milliseconds, for times that outlast this process. */
+  /** Wall clock in Unix milliseconds, for times that outlast this process. */
   readonly timeOfDay: () => number
 }
 
-/** The blocks in the store. */
+/** The stored blocks. */
 export interface BlockArchive {
-  /** Writes a block that this daemon itself gave rise to, once it has held for a moment. */
+  /** Persists a block that this daemon's own evidence caused, unless it is lifted within a short delay. */
   readonly save: (block: quarantine.CallBlock) => void
-  /** Whether blocks were read, or can't be for now. */
-  readonly isSettled: () => boolean
+  /** Whether the load was attempted, or enough time has passed to have received the blocks from peers. */
+  readonly isInitialized: () => boolean
   readonly stop: () => void
 }
 
-/** A block that another daemon's word takes back was hasty; such words take some ten milliseconds. */
-const SETTLE_MS = 500
-const RETRY_MINIMUM_MS = 500
-const RETRY_MAXIMUM_MS = 10_000
-/** A daemon looks so often, and for so long after its start, whether it is to read blocks for others; later it has heard of them. */
-const LOOK_MS = 250
-const LOOK_FOR_MS = 30_000
-/** A daemon that does not read the store itself hears of blocks from others within this, and takes calls then. */
-const HEARSAY_MS = 1000
+/** A block that a peer's report lifts was premature and is not saved; such reports arrive within about 10 ms. */
+const SAVE_DELAY_MS = 500
+const RETRY_DELAY_MINIMUM_MS = 500
+const RETRY_DELAY_MAXIMUM_MS = 10_000
+/** After its start a daemon checks at this interval, for this long, whether it has to read blocks for others; later it has received them from peers. */
+const ROLE_CHECK_INTERVAL_MS = 250
+const ROLE_CHECK_WINDOW_MS = 30_000
+/** A daemon that doesn't read the store itself receives the blocks from peers within this time, and accepts calls after it. */
+const PEER_REPORT_TIMEOUT_MS = 1000
 
 const blockSchema = zod.object({ fingerprint: zod.string().refine(quarantine.isFingerprint, 'a fingerprint'), count: zod.int().min(1), blockedAt: zod.number() })
 
 /**
- * Begins to read the blocks that the store holds.
+ * Starts loading the blocks from the store.
  *
  * @param options - Store, limits and clocks.
- * @returns The archive; it reads once, and goes on trying until it has.
+ * @returns The archive; it loads once and retries until that succeeds.
  */
 export function createBlockArchive (options: BlockArchiveOptions): BlockArchive {
   const { limits, logger, now } = options
   const startedAt = now()
   const stopping = new AbortController()
-  let hasAsked = false
+  let hasTriedStore = false
 
-  function nameOf ({ fingerprint, count }: quarantine.CallBlock): string {
+  function formatName ({ fingerprint, count }: quarantine.CallBlock): string {
     return `${fingerprint}-${count}`
   }
 
-  /** Clocks of two machines differ; a block that seems to lie ahead begins now. */
+  /** Clocks of two machines differ: a block with a start time in the future is taken to start now. */
   function read (object: store.StoredObject): void {
     const parsed = blockSchema.safeParse(object.value)
     if (!parsed.success) {
@@ -79,40 +79,40 @@
   }
 
   async function load (): Promise<void> {
-    let pauseMs = RETRY_MINIMUM_MS
+    let retryDelayMs = RETRY_DELAY_MINIMUM_MS
     while (!stopping.signal.aborted) {
-      if (!options.mayAsk()) {
-        if (now() - startedAt >= LOOK_FOR_MS) return
-        await types.delay(LOOK_MS)
+      if (!options.mayAskStore()) {
+        if (now() - startedAt >= ROLE_CHECK_WINDOW_MS) return
+        await types.delay(ROLE_CHECK_INTERVAL_MS)
         continue
       }
       const listed = await options.store.listAll(platform.KINDS.blocks)
-      hasAsked = true
+      hasTriedStore = true
       if (listed.ok) {
         for (const object of listed.value.objects) read(object)
         return
       }
       logger.info('blocks-not-read', { error: listed.error.message })
-      await types.delay(pauseMs)
-      pauseMs = Math.min(RETRY_MAXIMUM_MS, pauseMs * 2)
+      await types.delay(retryDelayMs)
+      retryDelayMs = Math.min(RETRY_DELAY_MAXIMUM_MS, retryDelayMs * 2)
     }
   }
 
   async function write (block: quarantine.CallBlock): Promise<void> {
-    await types.delay(SETTLE_MS)
-    for (let pauseMs = RETRY_MINIMUM_MS; !stopping.signal.aborted && options.isInForce(block); pauseMs = Math.min(RETRY_MAXIMUM_MS, pauseMs * 2)) {
+    await types.delay(SAVE_DELAY_MS)
+    for (let retryDelayMs = RETRY_DELAY_MINIMUM_MS; !stopping.signal.aborted && options.isInForce(block); retryDelayMs = Math.min(RETRY_DELAY_MAXIMUM_MS, retryDelayMs * 2)) {
       const { fingerprint, count, since } = block
-      const written = await options.store.put(platform.KINDS.blocks, nameOf(block), { fingerprint, count, blockedAt: options.timeOfDay() - (now() - since) }, null)
+      const written = await options.store.put(platform.KINDS.blocks, formatName(block), { fingerprint, count, blockedAt: options.timeOfDay() - (now() - since) }, null)
       if (written.ok || written.error instanceof types.ConflictError) return
       logger.info('block-not-saved', { fingerprint, count, error: written.error.message })
-      await types.delay(pauseMs)
+      await types.delay(retryDelayMs)
     }
   }
 
   void load()
   return {
     save: (block) => { void write(block) },
-    isSettled: () => hasAsked || now() - startedAt >= HEARSAY_MS,
+    isInitialized: () => hasTriedStore || now() - startedAt >= PEER_REPORT_TIMEOUT_MS,
     stop: () => { stopping.abort() }
   }
 }
--- a/packages/daemon/src/createCallQuarantine/index.ts
+++ b/packages/daemon/src/createCallQuarantine/index.ts
@@ -1,4 +1,4 @@
-/** Keeps calls that end back ends from the others: a gateway's looks at back ends whose connections were cut, beside what all gateways know together. */
+/** Keeps calls that crash back ends away from the remaining ones: combines a gateway's probes of back ends whose connections broke with what all gateways share. */
 import * as gateway from '@switchridge/gateway'
 import * as quarantine from '@switchridge/quarantine'
 import * as types from '@switchridge/types'
@@ -6,23 +6,23 @@
 import * as findByLife from '../_lib/findByLife.js'
 
 /** Options of {@link createCallQuarantine}. */
-export interface CallQuarantineOptions extends Omit<createSharedQuarantine.SharedQuarantineOptions, 'onToldEnd'> {
+export interface CallQuarantineOptions extends Omit<createSharedQuarantine.SharedQuarantineOptions, 'onReportedEnd'> {
   readonly backEnds: () => readonly gateway.BackEnd[]
   readonly book: Pick<gateway.BackEndBook, 'noteProcessEnded' | 'noteFailure'>
   readonly probe: (address: types.Address, timeoutMs: number) => Promise<quarantine.ProbeResult>
 }
 
-/** The quarantine of a gateway. */
+/** The call quarantine of a gateway. */
 export type CallQuarantine = gateway.CallGuard & Omit<createSharedQuarantine.SharedQuarantine, 'noteEnd'>
 
-/** A call waits no longer for the answer whether its back end lives; regions are within a tenth of it. */
-const PROBE_MS = 100
-/** Calls that are lost together ask once: they notice within milliseconds of each other, and a connection takes as long. */
-const PROBE_KEPT_MS = 50
-/** Another gateway's word that a back end ended makes it a bad choice if it is not older. */
-const FRESH_END_MS = 3000
+/** Longest time a call waits for the probe of its back end; round trips within a region take less than a tenth of it. */
+const PROBE_TIMEOUT_MS = 100
+/** Calls lost with the same back end share one probe: they fail within milliseconds of each other, and a connection attempt takes as long. */
+const PROBE_CACHE_MS = 50
+/** A peer's report that a back end terminated counts as a failure of that back end only up to this age. */
+const RECENT_END_MS = 3000
 
-interface Probe {
+interface CachedProbe {
   readonly result: Promise<quarantine.ProbeResult>
   readonly at: number
 }
@@ -30,20 +30,20 @@
 /**
  * Creates the quarantine of a gateway.
  *
- * @param options - Limits, ways to others and to back ends, and clocks.
+ * @param options - Limits, connections to peers and back ends, and clocks.
  * @returns The quarantine.
  */
 export function createCallQuarantine (options: CallQuarantineOptions): CallQuarantine {
   const { book, count, now } = options
-  const probes = new Map<types.BackEndLife, Probe>()
-  const shared = createSharedQuarantine.createSharedQuarantine({ ...options, onToldEnd: noteToldEnd })
+  const probes = new Map<types.BackEndLife, CachedProbe>()
+  const shared = createSharedQuarantine.createSharedQuarantine({ ...options, onReportedEnd: handleReportedEnd })
 
-  /** One connection for all calls that are lost with one back end. */
+  /** Opens one connection for all calls that are lost with the same back end. */
   async function probe (life: types.BackEndLife, address: types.Address): Promise<quarantine.ProbeResult> {
-    const known = probes.get(life)
-    if (known !== undefined && now() - known.at < PROBE_KEPT_MS) return await known.result
-    for (const [other, { at }] of probes) if (now() - at >= PROBE_KEPT_MS) probes.delete(other)
-    const result = options.probe(address, PROBE_MS)
+    const cached = probes.get(life)
+    if (cached !== undefined && now() - cached.at < PROBE_CACHE_MS) return await cached.result
+    for (const [other, { at }] of probes) if (now() - at >= PROBE_CACHE_MS) probes.delete(other)
+    const result = options.probe(address, PROBE_TIMEOUT_MS)
     probes.set(life, { result, at: now() })
     return await result
   }
@@ -64,9 +64,9 @@
     shared.noteEnd({ life, name: backEnd.id, service: backEnd.service }, call)
   }
 
-  /** Others are believed that a back end is a bad choice; that it may not be chosen at all takes an own look. */
-  function noteToldEnd (life: types.BackEndLife, at: number): void {
-    if (now() - at > FRESH_END_MS) return
+  /** A peer's report makes a back end a worse choice; only this gateway's own probe excludes it. */
+  function handleReportedEnd (life: types.BackEndLife, at: number): void {
+    if (now() - at > RECENT_END_MS) return
     const ended = findByLife.findByLife(options.backEnds(), life)
     if (ended !== undefined) book.noteFailure(ended.id)
   }
--- a/packages/daemon/src/createClaims/index.ts
+++ b/packages/daemon/src/createClaims/index.ts
@@ -1,16 +1,16 @@
-/** Claims on idempotency keys at the platform: a call that is sent again, through whichever entry node, runs once. */
+/** Claims on idempotency keys in the platform's store: a call that is sent again, through any entry node, runs once. */
 import * as crypto from 'node:crypto'
 import * as zod from 'zod'
 import * as types from '@switchridge/types'
 import type * as platform from '@switchridge/store'
 
 const CLAIM_KIND = 'claims'
-const MAXIMUM_KEPT_ANSWER_BYTES = 16 * types.BYTES_IN_KIBIBYTE
-const KEEP_MS = 24 * 3600 * types.MILLISECONDS_IN_SECOND
-const SWEEP_PAGE = 200
+const MAXIMUM_STORED_ANSWER_BYTES = 16 * types.BYTES_IN_KIBIBYTE
+const RETENTION_MS = 24 * 3600 * types.MILLISECONDS_IN_SECOND
+const SWEEP_PAGE_SIZE = 200
 
-/** An answer as a claim keeps it. */
-export interface KeptAnswer {
+/** An answer as stored in a claim. */
+export interface StoredAnswer {
   readonly status: number
   readonly contentType: string
   /** Version header of the answer; empty for a plain service. */
@@ -18,27 +18,27 @@
   readonly body: Buffer
 }
 
-/** What became of the wish to run a call under a key. */
+/** Result of trying to claim a key. */
 export type ClaimResult =
   | { readonly kind: 'taken', readonly claim: Claim }
-  | { readonly kind: 'answered', readonly answer: KeptAnswer }
-  /** Another request has the key, and what became of it is not known, or its answer was too long to keep. */
+  | { readonly kind: 'answered', readonly answer: StoredAnswer }
+  /** Another request holds the key, and its outcome is unknown or its answer was too long to store. */
   | { readonly kind: 'held' }
-  /** The platform did not confirm the claim; the call must not run. */
+  /** The platform did not confirm the claim, so the call must not run. */
   | { readonly kind: 'unavailable' }
 
-/** A claim of this process. */
+/** A claim that this process holds. */
 export interface Claim {
-  /** Keeps the answer for requests that come again. */
-  readonly finish: (answer: KeptAnswer) => Promise<void>
-  /** Gives the key back: the call did not run. */
-  readonly withdraw: () => Promise<void>
+  /** Stores the answer, to be replayed to repeated requests. */
+  readonly finish: (answer: StoredAnswer) => Promise<void>
+  /** Releases the key because the call did not run. */
+  readonly release: () => Promise<void>
 }
 
-/** Claims of an entry node. */
+/** The idempotency claims of an entry node. */
 export interface Claims {
-  readonly take: (account: types.AccountId, service: types.ServiceName, key: string) => Promise<ClaimResult>
-  /** Removes claims older than a day; returns how many. */
+  readonly acquire: (account: types.AccountId, service: types.ServiceName, key: string) => Promise<ClaimResult>
+  /** Removes claims older than a day, and unreadable ones; returns how many. */
   readonly sweep: () => Promise<number>
 }
 
@@ -58,20 +58,20 @@
  * @returns The claims.
  */
 export function createClaims (store: platform.ObjectStore, readTime: () => number): Claims {
-  async function take (account: types.AccountId, service: types.ServiceName, key: string): Promise<ClaimResult> {
+  async function acquire (account: types.AccountId, service: types.ServiceName, key: string): Promise<ClaimResult> {
     const name = formatName(account, service, key)
     const record: ClaimRecord = { nonce: crypto.randomUUID(), at: readTime(), answer: null }
     const written = await store.write(CLAIM_KIND, name, record, { absent: true })
     if (written.ok) return { kind: 'taken', claim: createClaim(name, record, written.value) }
-    return await readHeld(name, record)
+    return await readExisting(name, record)
   }
 
-  /** Finds out who has the claim; it may be this request itself, when only the answer to its write was lost. */
-  async function readHeld (name: string, own: ClaimRecord): Promise<ClaimResult> {
+  /** Reads the existing claim. It may be this request's own, if its write succeeded but the answer to the write was lost. */
+  async function readExisting (name: string, ownRecord: ClaimRecord): Promise<ClaimResult> {
     const found = await store.read(CLAIM_KIND, name)
     const parsed = found.ok ? claimSchema.safeParse(found.value.value) : null
     if (!found.ok || parsed?.success !== true) return { kind: 'unavailable' }
-    if (parsed.data.nonce === own.nonce) return { kind: 'taken', claim: createClaim(name, own, found.value.version) }
+    if (parsed.data.nonce === ownRecord.nonce) return { kind: 'taken', claim: createClaim(name, ownRecord, found.value.version) }
     const { answer } = parsed.data
     return answer === null ? { kind: 'held' } : { kind: 'answered', answer: { ...answer, body: Buffer.from(answer.body, 'base64') } }
   }
@@ -79,24 +79,24 @@
   function createClaim (name: string, record: ClaimRecord, version: number): Claim {
     return {
       finish: async (answer) => {
-        if (answer.body.length > MAXIMUM_KEPT_ANSWER_BYTES) return
+        if (answer.body.length > MAXIMUM_STORED_ANSWER_BYTES) return
         await store.write(CLAIM_KIND, name, { ...record, answer: { ...answer, body: answer.body.toString('base64') } }, { version })
       },
-      withdraw: async () => { await store.remove(CLAIM_KIND, name, version) }
+      release: async () => { await store.remove(CLAIM_KIND, name, version) }
     }
   }
 
   async function sweep (): Promise<number> {
-    const listed = await store.list(CLAIM_KIND, '', SWEEP_PAGE)
-    const old = (listed.ok ? listed.value : []).filter((object) => {
+    const listed = await store.list(CLAIM_KIND, '', SWEEP_PAGE_SIZE)
+    const expired = (listed.ok ? listed.value : []).filter((object) => {
       const parsed = claimSchema.safeParse(object.value)
-      return !parsed.success || parsed.data.at < readTime() - KEEP_MS
+      return !parsed.success || parsed.data.at < readTime() - RETENTION_MS
     })
-    for (const object of old) await store.remove(CLAIM_KIND, object.name, object.version)
-    return old.length
+    for (const object of expired) await store.remove(CLAIM_KIND, object.name, object.version)
+    return expired.length
   }
 
-  return { take, sweep }
+  return { acquire, sweep }
 }
 
 function formatName (account: types.AccountId, service: types.ServiceName, key: string): string {
--- a/packages/daemon/src/createCopyAnswers/index.ts
+++ b/packages/daemon/src/createCopyAnswers/index.ts
@@ -1,4 +1,4 @@
-/** Answers other daemons that ask what changed in a copy. */
+/** Answers other daemons that request the changes in a local copy of the store's objects. */
 import * as util from 'node:util'
 import * as zlib from 'node:zlib'
 import type Koa from 'koa'
@@ -14,9 +14,9 @@
   readonly identity: rpc.Identity
 }
 
-/** The answers of one daemon. */
+/** The copies that one daemon serves. */
 export interface CopyAnswers {
-  /** Compressed JSON; null when this daemon has no copy of the kind or not that part of it. */
+  /** Returns the changes as compressed JSON; null when this daemon has no copy of the kind or doesn't hold that part of it. */
   readonly answer: (kind: string, part: string, since: number) => Promise<Buffer | null>
   readonly middleware: Koa.Middleware
 }
@@ -26,42 +26,42 @@
   readonly bytes: Promise<Buffer>
 }
 
-/** Answers that are kept: a hall asks the same after a change, few kinds change at a time, and one takes some 100 KB at most. */
-const MAXIMUM_ANSWERS = 16
+/** Small, because after a change a hall's daemons request the same changes, few kinds change at a time, and one answer takes up to about 100 KB. */
+const MAXIMUM_CACHED_ANSWERS = 16
 const BAD_REQUEST = 400
 const FORBIDDEN = 403
-/** The store's counters, and the half that stands for a kind without objects. */
+/** A revision counter of the store; the fraction allows 0.5, the revision of a copy of a kind without objects. */
 const REVISION = /^\d{1,15}(\.\d{1,3})?$/
 
 const compress = util.promisify(zlib.gzip)
 
 /**
- * Creates the answers.
+ * Creates the answers of a daemon to requests for its copies.
  *
- * @param options - The copies that are told of.
- * @returns The answers; each is formed once for all that ask the same.
+ * @param options - The copies to serve, this daemon's role and its identity.
+ * @returns The answers; each is compressed once for all requests for the same changes.
  */
 export function createCopyAnswers (options: CopyAnswersOptions): CopyAnswers {
   const cache = new Map<string, CachedAnswer>()
 
   async function answer (kind: string, part: string, since: number): Promise<Buffer | null> {
     const mirror = options.mirrors.find((each) => each.kind === kind)
-    const isPart = part === 'whole' || part === 'services'
-    if (mirror === undefined || !isPart || !mirror.isKnown() || !copyParts.holds(copyParts.partOf(kind, options.role), part)) return null
+    const isCopyPart = part === 'whole' || part === 'services'
+    if (mirror === undefined || !isCopyPart || !mirror.isKnown() || !copyParts.holds(copyParts.partOf(kind, options.role), part)) return null
     const changes = mirror.changesSince(since)
     const key = JSON.stringify([kind, part, changes.since, changes.digest])
-    const known = cache.get(key)
-    if (known !== undefined && known.at > since) return await known.bytes
+    const existing = cache.get(key)
+    if (existing !== undefined && existing.at > since) return await existing.bytes
     const bytes = compress(JSON.stringify({ ...changes, part, objects: copyParts.takePart(changes.objects, part) }))
-    keep(key, { at: changes.at, bytes })
+    cacheAnswer(key, { at: changes.at, bytes })
     return await bytes
   }
 
-  function keep (key: string, cached: CachedAnswer): void {
+  function cacheAnswer (key: string, cached: CachedAnswer): void {
     cache.delete(key)
     cache.set(key, cached)
     const [oldest] = cache.keys()
-    if (cache.size > MAXIMUM_ANSWERS && oldest !== undefined) cache.delete(oldest)
+    if (cache.size > MAXIMUM_CACHED_ANSWERS && oldest !== undefined) cache.delete(oldest)
   }
 
   async function middleware (context: Koa.Context, next: Koa.Next): Promise<void> {
--- a/packages/daemon/src/createCopyAnswers/test.ts
+++ b/packages/daemon/src/createCopyAnswers/test.ts
@@ -17,7 +17,7 @@
 const KIND = platform.KINDS.configuration
 const compress = util.promisify(zlib.gzip)
 
-function createHeld (): store.Mirror {
+function createFilledMirror (): store.Mirror {
   const mirror = store.createMirror(KIND)
   mirror.applyList({ at: 7, objects: [{ name: platform.CONFIGURATION_NAME, revision: 5, value: testing.createConfiguration('127.0.0.9:1', 8, 'model-a', KEY) }] })
   return mirror
@@ -27,8 +27,8 @@
   return createCopyAnswers.createCopyAnswers({ mirrors: [mirror], role, identity: IDENTITY })
 }
 
-nodeTest.test('an answer is formed once for all that ask from revisions without a change between them', async () => {
-  const mirror = createHeld()
+nodeTest.test('requests from revisions without a change between them share one cached answer', async () => {
+  const mirror = createFilledMirror()
   const { answer } = createAnswers(mirror)
   mirror.applyEvents({ at: 30, events: [{ isGone: false, object: { name: 'main', revision: 30, value: {} } }] })
   const first = await answer(KIND, 'whole', 9)
@@ -38,22 +38,22 @@
   assert.notEqual(await answer(KIND, 'whole', 20), first)
 })
 
-nodeTest.test('an agent gets the services without routes and keys, and the part can be parsed', async () => {
-  const bytes = await createAnswers(createHeld()).answer(KIND, 'services', 0)
+nodeTest.test('an agent receives the services without routes and keys, and the part can be parsed', async () => {
+  const bytes = await createAnswers(createFilledMirror()).answer(KIND, 'services', 0)
   assert.ok(bytes !== null)
   assert.doesNotMatch(zlib.gunzipSync(bytes).toString(), new RegExp(KEY))
   const read = await readCopyAnswer.readCopyAnswer(bytes, { kind: KIND, since: 0 }, 'services')
   assert.ok(read.ok)
   const mirror = store.createMirror(KIND)
   assert.equal(mirror.applyChanges(read.value), 'applied')
-  assert.equal(mirror.state().digest, createHeld().state().digest)
+  assert.equal(mirror.state().digest, createFilledMirror().state().digest)
   const parsed = platform.parseConfiguration(mirror.objects().get(platform.CONFIGURATION_NAME)?.value)
   assert.ok(parsed.ok)
   assert.deepEqual([parsed.value.routes.length, parsed.value.tenants.length, parsed.value.services.length], [0, 0, 3])
 })
 
-nodeTest.test('an agent tells its part to agents, and never as a whole configuration', async () => {
-  const { answer } = createAnswers(createHeld(), 'agent')
+nodeTest.test('an agent serves its part to agents, and never as a whole configuration', async () => {
+  const { answer } = createAnswers(createFilledMirror(), 'agent')
   assert.equal(await answer(KIND, 'whole', 0), null)
   const bytes = await answer(KIND, 'services', 0)
   assert.ok(bytes !== null)
@@ -64,13 +64,13 @@
   assert.equal(copyParts.holds(copyParts.partOf(platform.KINDS.versions, 'agent'), copyParts.partOf(platform.KINDS.versions, 'gateway')), true)
 })
 
-nodeTest.test('a daemon without a copy, and one asked for an unknown kind or part, answers nothing', async () => {
+nodeTest.test('a daemon without a copy, or a request for an unknown kind or part, yields no answer', async () => {
   assert.equal(await createAnswers(store.createMirror(KIND)).answer(KIND, 'whole', 0), null)
-  assert.equal(await createAnswers(createHeld()).answer('others', 'whole', 0), null)
-  assert.equal(await createAnswers(createHeld()).answer(KIND, 'half', 0), null)
+  assert.equal(await createAnswers(createFilledMirror()).answer('others', 'whole', 0), null)
+  assert.equal(await createAnswers(createFilledMirror()).answer(KIND, 'half', 0), null)
 })
 
-nodeTest.test('answers that are too large, not compressed, cut or of another kind are dropped with their reason', async () => {
+nodeTest.test('answers that are too large, not compressed, truncated or of another kind are rejected with their reason', async () => {
   const good = { kind: KIND, part: 'whole', since: 0, at: 7, digest: '0', objects: [], gone: [] }
   const cases: Array<[Buffer, RegExp]> = [
     [await compress(Buffer.alloc(readCopyAnswer.MAXIMUM_COPY_BYTES + 1, ' ')), /larger than/],
@@ -88,10 +88,10 @@
   }
 })
 
-/** A daemon that answers over HTTP, and connections to it. */
-async function openAnswers (context: nodeTest.TestContext): Promise<{ readonly listener: rpc.HttpListener, readonly agents: rpc.HttpAgents }> {
+/** Starts a daemon's answers over HTTP, with a client for it. */
+async function startAnswerServer (context: nodeTest.TestContext): Promise<{ readonly listener: rpc.HttpListener, readonly agents: rpc.HttpAgents }> {
   const app = new Koa()
-  app.use(createAnswers(createHeld()).middleware)
+  app.use(createAnswers(createFilledMirror()).middleware)
   const listener = await rpc.listenHttp(app.callback(), { host: HOST, port: 0 })
   const agents = rpc.createHttpAgents()
   context.after(() => {
@@ -101,8 +101,8 @@
   return { listener, agents }
 }
 
-nodeTest.test('only daemons of the deployment are answered', async (context) => {
-  const { listener, agents } = await openAnswers(context)
+nodeTest.test('only daemons of the same deployment get an answer', async (context) => {
+  const { listener, agents } = await startAnswerServer(context)
   const ask = async (identity: rpc.Identity, path: string): Promise<number> => {
     const sent = await rpc.sendRequest(agents, { base: rpc.formatBaseUrl(agents, listener.address), path, method: 'GET', headers: rpc.createIdentityHeaders(identity) })
     return sent.ok ? sent.value.status : 0
@@ -114,8 +114,8 @@
   assert.equal(await ask(IDENTITY, `${copyParts.COPIES_PATH}%E0/whole/0`), 404)
 })
 
-nodeTest.test('a request from no revision is refused with its reason', async (context) => {
-  const { listener, agents } = await openAnswers(context)
+nodeTest.test('a request without a valid revision is refused with its reason', async (context) => {
+  const { listener, agents } = await startAnswerServer(context)
   for (const since of ['', '/', '/late', '/-1', '/Infinity', '/9e99', '/0x10', '/1.2.3', '/%20', '/3/4']) {
     const sent = await rpc.sendRequest(agents, { base: rpc.formatBaseUrl(agents, listener.address), path: `${copyParts.COPIES_PATH}${KIND}/whole${since}`, method: 'GET', headers: rpc.createIdentityHeaders(IDENTITY) })
     assert.ok(sent.ok)
--- a/packages/daemon/src/createEngineOrders/index.ts
+++ b/packages/daemon/src/createEngineOrders/index.ts
@@ -1,24 +1,24 @@
-/** Orders to the engine beside this daemon, each under a fence. */
+/** Sends orders to the engine beside this daemon, each with a fencing token. */
 import * as got from 'got'
 import * as zod from 'zod'
 import * as types from '@switchridge/types'
 import type * as platform from '@switchridge/store'
 import type * as rpc from '@switchridge/rpc'
 
-/** The engine refused an order or could not be given it. */
+/** The engine refused an order, or the order couldn't be sent. */
 export class OrderError extends types.SwitchridgeError {}
 
 /** A version to load. */
 export interface LoadOrder {
   readonly manifest: types.Digest
-  /** Where the engine reads the bytes. */
+  /** URL from which the engine reads the bytes. */
   readonly source: string
   readonly bytes: number
-  /** SHA-256 of all bytes; the engine's own must be the same if it states one. */
+  /** SHA-256 of all bytes; if the engine reports a digest, it must match. */
   readonly fileDigest: types.Digest
 }
 
-/** Orders to one engine. */
+/** Load and unload orders for one engine. */
 export interface EngineOrders {
   readonly load: (order: LoadOrder) => Promise<types.Outcome<null, OrderError>>
   readonly unload: (manifest: types.Digest) => Promise<types.Outcome<null, OrderError>>
@@ -40,9 +40,9 @@
 /**
  * Creates the orders to an engine.
  *
- * An engine that checks fences gets the generation of the lease and a rising sequence, also when the lease
- * has lapsed: a successor's higher generation shuts this daemon out. Any other engine gets an order only
- * while the lease surely holds.
+ * An engine that checks fences receives the lease's generation and an increasing sequence number, even after the
+ * lease has lapsed: a successor's higher generation fences this daemon off. Any other engine receives an order
+ * only while the lease is certain to hold.
  *
  * @param options - Engine, lease and connections.
  * @returns The orders.
@@ -50,7 +50,7 @@
 export function createEngineOrders (options: EngineOrderOptions): EngineOrders {
   let generation: number | null = null
   let sequence = 0
-  let last: Promise<unknown> = Promise.resolve()
+  let lastOrder: Promise<unknown> = Promise.resolve()
 
   async function obtainGeneration (): Promise<types.Outcome<number, OrderError>> {
     if (options.checksFences && generation !== null) return types.succeed(generation)
@@ -64,10 +64,10 @@
     return types.succeed(current)
   }
 
-  /** Gives one order at a time, so that they reach the engine in the order of their sequence. */
+  /** Sends one order at a time, so that the engine receives them in sequence. */
   async function send (order: Record<string, unknown>): Promise<types.Outcome<string | null, OrderError>> {
-    const answer = last.then(async () => await sendNow(order))
-    last = answer
+    const answer = lastOrder.then(async () => await sendNow(order))
+    lastOrder = answer
     return await answer
   }
 
@@ -98,8 +98,8 @@
     load: async (order) => {
       const answer = await send({ order: 'load', manifest: order.manifest, source: order.source, bytes: order.bytes })
       if (!answer.ok) return answer
-      const isOther = answer.value !== null && answer.value !== '' && answer.value !== order.fileDigest
-      return isOther ? types.fail(new OrderError(`engine holds ${String(answer.value)}, ordered ${order.fileDigest}`)) : types.succeed(null)
+      const isDigestMismatch = answer.value !== null && answer.value !== '' && answer.value !== order.fileDigest
+      return isDigestMismatch ? types.fail(new OrderError(`engine holds ${String(answer.value)}, ordered ${order.fileDigest}`)) : types.succeed(null)
     },
     unload: async (manifest) => {
       const answer = await send({ order: 'unload', manifest })
--- a/packages/daemon/src/createEntryCalls/index.ts
+++ b/packages/daemon/src/createEntryCalls/index.ts
@@ -1,4 +1,4 @@
-/** Takes callers' requests, sees them through their attempts, and gives one of three outcomes: answered, not run, unknown. */
+/** Handles callers' requests: retries failed attempts and ends each call with one of three outcomes: answered, not run or unknown. */
 import * as crypto from 'node:crypto'
 import type * as Koa from 'koa'
 import type * as clock from '@switchridge/clock'
@@ -25,9 +25,9 @@
   readonly send: (call: sendAttempt.OutgoingCall, backend: types.MemberFacts, signal: AbortSignal) => Promise<sendAttempt.AttemptResult>
   readonly logger: observability.Logger
   readonly metrics: observability.Metrics
-  /** Steady clock in milliseconds. */
+  /** Monotonic clock in milliseconds. */
   readonly now: () => number
-  /** Calls an action at a time of the clock. */
+  /** Schedules an action at a time of the clock. */
   readonly at: clock.AtTime
   readonly guard: createEntryQuarantine.EntryGuard
 }
@@ -42,41 +42,41 @@
 const SERVICE_PATH = /^\/services\/([\w.-]+)(?:\/models\/([\w.-]+))?(\/.*)?$/
 const RETRY_AFTER_SECONDS = 1
 const MAXIMUM_ATTEMPTS = 5
-/** Refusals that say nothing about the server's health. */
-const HEALTHY_REFUSALS = new Set(['full', 'leaving', 'restarted', 'not-serving', 'version-not-loaded', 'deadline'])
-/** Back ends ended under the call. */
+/** Refusal reasons that are no evidence of a failing server. */
+const NEUTRAL_REFUSALS = new Set(['full', 'leaving', 'restarted', 'not-serving', 'version-not-loaded', 'deadline'])
+/** The call is blocked because back ends terminated while running it. */
 const BLOCKED_REASON = 'blocked'
 
-interface Prepared {
+interface PreparedCall {
   readonly call: sendAttempt.OutgoingCall
   readonly service: types.ServiceRow
   readonly affinity: string
-  /** Idempotency key; empty when there is none or the call may be repeated anyway. */
+  /** Idempotency key; empty when the caller sent none or the call is repeatable anyway. */
   readonly key: string
 }
 
-/** An attempt under way. */
-interface Unanswered {
+/** An attempt whose response headers have not arrived yet. */
+interface PendingAttempt {
   readonly call: sendAttempt.OutgoingCall
   readonly end: () => void
 }
 
-/** Why a call has no answer, and for a call that was refused when it may come back, if that is known. */
+/** Result of a call without an answer; for a refused call with the time after which it can be retried, if known. */
 type FinalOutcome = Exclude<sendAttempt.AttemptResult, { kind: 'answered' }> & { readonly retryAfterMs?: number }
 
 /**
  * Creates the middleware for `/services/...`.
  *
- * @param options - Table, dispatcher and the way to send an attempt.
+ * @param options - Table, dispatcher and the function that sends an attempt.
  * @returns The middleware.
  */
 export function createEntryCalls (options: EntryCallsOptions): EntryCalls {
   const budgets = new Map<types.ServiceName, routing.RetryBudget>()
   const counts: Record<string, number> = {}
   let inProgress = 0
-  const unanswered = new Set<Unanswered>()
+  const pendingAttempts = new Set<PendingAttempt>()
   options.guard.onBlocked((blocked) => {
-    for (const { call, end } of unanswered) if (entryCall.identify(call) === blocked) end()
+    for (const { call, end } of pendingAttempts) if (entryCall.identify(call) === blocked) end()
   })
 
   function count (name: string): void {
@@ -91,25 +91,25 @@
     if (prepared === null) return
     const startedAt = options.now()
     const abort = new AbortController()
-    const leave = (): void => { abort.abort() }
-    context.res.once('close', leave)
+    const abortCall = (): void => { abort.abort() }
+    context.res.once('close', abortCall)
     if (prepared.key === '') await runOnce(context, prepared, abort.signal, null)
     else await runUnderKey(context, prepared, abort.signal)
-    context.res.off('close', leave)
+    context.res.off('close', abortCall)
     options.metrics.timing('calls.time', options.now() - startedAt)
   }
 
-  async function runOnce (context: Koa.Context, prepared: Prepared, signal: AbortSignal, claim: createClaims.Claim | null): Promise<void> {
-    const outcome = await attempt(context, prepared, signal, claim)
+  async function runOnce (context: Koa.Context, prepared: PreparedCall, signal: AbortSignal, claim: createClaims.Claim | null): Promise<void> {
+    const outcome = await runAttempts(context, prepared, signal, claim)
     if (outcome === 'answered') return
-    if (outcome.kind === 'not-run') await claim?.withdraw()
-    answerWithout(context, outcome)
+    if (outcome.kind === 'not-run') await claim?.release()
+    sendFailure(context, outcome)
   }
 
-  /** A call with an idempotency key runs only under a claim that the platform confirmed. */
-  async function runUnderKey (context: Koa.Context, prepared: Prepared, signal: AbortSignal): Promise<void> {
+  /** Runs a call with an idempotency key only under a claim that the platform confirmed. */
+  async function runUnderKey (context: Koa.Context, prepared: PreparedCall, signal: AbortSignal): Promise<void> {
     const { call, key } = prepared
-    const result = await options.claims.take(call.account.id, call.service, key)
+    const result = await options.claims.acquire(call.account.id, call.service, key)
     switch (result.kind) {
       case 'taken':
         await runOnce(context, prepared, signal, result.claim)
@@ -118,15 +118,15 @@
         replay(context, result.answer)
         break
       case 'held':
-        answerWithout(context, { kind: 'unknown', reason: 'idempotency-key-held', load: undefined })
+        sendFailure(context, { kind: 'unknown', reason: 'idempotency-key-held', load: undefined })
         break
       case 'unavailable':
-        answerWithout(context, { kind: 'not-run', reason: 'no-claim', load: undefined })
+        sendFailure(context, { kind: 'not-run', reason: 'no-claim', load: undefined })
     }
   }
 
-  /** Gives the kept answer of an earlier request with the same key. */
-  function replay (context: Koa.Context, answer: createClaims.KeptAnswer): void {
+  /** Sends the stored answer of an earlier request with the same key. */
+  function replay (context: Koa.Context, answer: createClaims.StoredAnswer): void {
     count('replayed')
     context.status = answer.status
     context.type = answer.contentType
@@ -136,7 +136,7 @@
     context.body = answer.body
   }
 
-  async function prepare (context: Koa.Context, match: RegExpExecArray, requestId: string): Promise<Prepared | null> {
+  async function prepare (context: Koa.Context, match: RegExpExecArray, requestId: string): Promise<PreparedCall | null> {
     const table = options.table()
     const service = table.services.find((candidate) => candidate.id === match[1])
     if (service === undefined) return reject(context, 404, `no service "${match[1] ?? ''}" in the table`)
@@ -158,7 +158,7 @@
     return { call, service, affinity: context.get('x-prompt-prefix'), key }
   }
 
-  /** One of the caller's own mistakes or limits: nothing ran. */
+  /** Rejects a request because of the caller's own mistake or limit; nothing ran. */
   function reject (context: Koa.Context, status: number, message: string): null {
     context.req.resume()
     context.status = status
@@ -173,7 +173,7 @@
     return reject(context, 429, 'the account is over its limit of calls a second')
   }
 
-  async function attempt (context: Koa.Context, prepared: Prepared, signal: AbortSignal, claim: createClaims.Claim | null): Promise<FinalOutcome | 'answered'> {
+  async function runAttempts (context: Koa.Context, prepared: PreparedCall, signal: AbortSignal, claim: createClaims.Claim | null): Promise<FinalOutcome | 'answered'> {
     const { call, service } = prepared
     const budget = findBudget(service)
     const tried = new Set<types.NodeId>()
@@ -181,39 +181,39 @@
     budget.earn()
     for (let attempts = 1; ; attempts += 1) {
       const blockedMs = options.guard.isActive() ? options.guard.findBlock(entryCall.identify(call)) : null
-      if (blockedMs !== null) return conclude({ kind: 'not-run', reason: BLOCKED_REASON, load: undefined, retryAfterMs: blockedMs }, mayHaveRun)
+      if (blockedMs !== null) return finalizeOutcome({ kind: 'not-run', reason: BLOCKED_REASON, load: undefined, retryAfterMs: blockedMs }, mayHaveRun)
       const backend = await awaitBackend(prepared, tried, signal)
-      if (!backend.ok) return conclude({ kind: 'not-run', reason: backend.error.reason, load: undefined }, mayHaveRun)
+      if (!backend.ok) return finalizeOutcome({ kind: 'not-run', reason: backend.error.reason, load: undefined }, mayHaveRun)
       count('attempts')
       tried.add(backend.value.node)
       const result = await sendUnlessBlocked(call, backend.value, signal)
       if (result.kind === 'answered') {
-        const isWhole = await passOn(context, result, backend.value, claim)
-        if (isWhole && options.guard.isActive()) options.guard.noteServed(entryCall.identify(call))
-        if (!isWhole && !context.req.aborted) await options.guard.noteLost(backend.value, entryCall.identify(call))
+        const isComplete = await forwardResponse(context, result, backend.value, claim)
+        if (isComplete && options.guard.isActive()) options.guard.noteServed(entryCall.identify(call))
+        if (!isComplete && !context.req.aborted) await options.guard.noteLost(backend.value, entryCall.identify(call))
         return 'answered'
       }
       if (result.kind === 'unknown' && !signal.aborted) await options.guard.noteLost(backend.value, entryCall.identify(call))
       noteFailure(backend.value, result)
       mayHaveRun ||= result.kind === 'unknown'
       const mayRepeat = result.kind === 'not-run' || call.isRepeatable
-      const isOver = signal.aborted || options.now() >= call.deadlineAt || attempts >= MAXIMUM_ATTEMPTS
-      if (!mayRepeat || isOver || !budget.trySpend()) return conclude(result, mayHaveRun)
+      const isExhausted = signal.aborted || options.now() >= call.deadlineAt || attempts >= MAXIMUM_ATTEMPTS
+      if (!mayRepeat || isExhausted || !budget.trySpend()) return finalizeOutcome(result, mayHaveRun)
       count('retries')
     }
   }
 
-  /** Takes an attempt back that has no answer yet when its call is blocked. */
+  /** Sends an attempt, and aborts it if the call is blocked before an answer arrives. */
   async function sendUnlessBlocked (call: sendAttempt.OutgoingCall, backend: types.MemberFacts, signal: AbortSignal): Promise<sendAttempt.AttemptResult> {
-    const blocking = new AbortController()
-    const waiting = { call, end: () => { blocking.abort() } }
-    unanswered.add(waiting)
-    const result = await options.send(call, backend, AbortSignal.any([signal, blocking.signal]))
-    unanswered.delete(waiting)
+    const blockAbort = new AbortController()
+    const pendingAttempt = { call, end: () => { blockAbort.abort() } }
+    pendingAttempts.add(pendingAttempt)
+    const result = await options.send(call, backend, AbortSignal.any([signal, blockAbort.signal]))
+    pendingAttempts.delete(pendingAttempt)
     return result
   }
 
-  async function awaitBackend ({ call, affinity }: Prepared, tried: ReadonlySet<types.NodeId>, signal: AbortSignal): Promise<types.Outcome<types.MemberFacts, routing.NotRunError>> {
+  async function awaitBackend ({ call, affinity }: PreparedCall, tried: ReadonlySet<types.NodeId>, signal: AbortSignal): Promise<types.Outcome<types.MemberFacts, routing.NotRunError>> {
     const queued = { account: call.account.id, share: call.account.share, priority: call.account.priority }
     const dispatched = options.dispatcher.submit({ service: call.service, row: call.row, queued, affinity, tried })
     const cancelExpiry = options.at(call.deadlineAt, () => { dispatched.cancel('deadline') })
@@ -227,12 +227,12 @@
 
   function noteFailure (backend: types.MemberFacts, result: FinalOutcome): void {
     options.loads.noteEnded(backend.node, result.load)
-    if (result.kind === 'unknown' || !HEALTHY_REFUSALS.has(result.reason)) options.health.noteFailure(backend.node)
+    if (result.kind === 'unknown' || !NEUTRAL_REFUSALS.has(result.reason)) options.health.noteFailure(backend.node)
     count(`attempt.${result.kind}`)
     options.dispatcher.pump()
   }
 
-  async function passOn (context: Koa.Context, result: Extract<sendAttempt.AttemptResult, { kind: 'answered' }>, backend: types.MemberFacts, claim: createClaims.Claim | null): Promise<boolean> {
+  async function forwardResponse (context: Koa.Context, result: Extract<sendAttempt.AttemptResult, { kind: 'answered' }>, backend: types.MemberFacts, claim: createClaims.Claim | null): Promise<boolean> {
     const { response, load } = result
     context.status = response.statusCode ?? 502
     for (const [name, value] of Object.entries(callHeaders.copyHeaders(response.headers))) context.set(name, value)
@@ -240,19 +240,19 @@
     context.set(callHeaders.OUTCOME_HEADER, 'answered')
     const version = response.headers[callHeaders.VERSION_HEADER]
     if (typeof version === 'string') context.set(callHeaders.VERSION_HEADER, version)
-    const parts: Buffer[] = []
-    if (claim !== null) response.on('data', (part: Buffer) => { parts.push(part) }).pause()
-    const isWhole = await sendStream.sendStream(context, response)
-    if (isWhole) await claim?.finish({ status: context.status, contentType: String(response.headers['content-type'] ?? ''), version: typeof version === 'string' ? version : '', body: Buffer.concat(parts) })
+    const received: Buffer[] = []
+    if (claim !== null) response.on('data', (part: Buffer) => { received.push(part) }).pause()
+    const isComplete = await sendStream.sendStream(context, response)
+    if (isComplete) await claim?.finish({ status: context.status, contentType: String(response.headers['content-type'] ?? ''), version: typeof version === 'string' ? version : '', body: Buffer.concat(received) })
     options.loads.noteEnded(backend.node, load === undefined ? undefined : { ...load, running: Math.max(0, load.running - 1) })
-    if (isWhole) options.health.noteSuccess(backend.node)
+    if (isComplete) options.health.noteSuccess(backend.node)
     else if (!context.req.aborted) options.health.noteFailure(backend.node)
-    count(isWhole ? 'answered' : 'broken')
+    count(isComplete ? 'answered' : 'broken')
     options.dispatcher.pump()
-    return isWhole
+    return isComplete
   }
 
-  function answerWithout (context: Koa.Context, result: FinalOutcome): void {
+  function sendFailure (context: Koa.Context, result: FinalOutcome): void {
     count(result.kind)
     options.logger.info('call-not-answered', {
       request: String(context.response.get(callHeaders.REQUEST_ID_HEADER)),
@@ -270,10 +270,10 @@
   }
 
   function findBudget (service: types.ServiceRow): routing.RetryBudget {
-    const known = budgets.get(service.id) ?? routing.createRetryBudget(service.retryBudget)
-    known.setRatio(service.retryBudget)
-    budgets.set(service.id, known)
-    return known
+    const budget = budgets.get(service.id) ?? routing.createRetryBudget(service.retryBudget)
+    budget.setRatio(service.retryBudget)
+    budgets.set(service.id, budget)
+    return budget
   }
 
   const middleware: Koa.Middleware = async (context, next) => {
@@ -292,8 +292,8 @@
   return { middleware, inProgress: () => inProgress, counts }
 }
 
-/** A refusal of the last attempt says nothing about an earlier one that may have run. */
-function conclude (result: FinalOutcome, mayHaveRun: boolean): FinalOutcome {
+/** A call may have run if an earlier attempt may have, whatever the last attempt returned. */
+function finalizeOutcome (result: FinalOutcome, mayHaveRun: boolean): FinalOutcome {
   return mayHaveRun ? { ...result, kind: 'unknown' } : result
 }
 
--- a/packages/daemon/src/createEntryQuarantine/index.ts
+++ b/packages/daemon/src/createEntryQuarantine/index.ts
@@ -1,4 +1,4 @@
-/** Keeps calls that end back ends from the others at entry nodes: they ask the daemon beside a back end whether it ended, and tell each other by JSON-RPC. */
+/** Keeps calls that crash back ends away from the remaining ones, at entry nodes: these ask the daemon beside a back end whether it terminated, and share facts with each other by JSON-RPC. */
 import * as quarantine from '@switchridge/quarantine'
 import type * as rpc from '@switchridge/rpc'
 import * as spread from '@switchridge/spread'
@@ -8,19 +8,19 @@
 import * as createSharedQuarantine from '../createSharedQuarantine/index.js'
 import * as schemas from '../_lib/schemas.js'
 
-/** What the way of calls through an entry node asks. */
+/** The part of the quarantine that an entry node uses while it handles a call. */
 export interface EntryGuard extends Pick<createSharedQuarantine.SharedQuarantine, 'isActive' | 'findBlock' | 'noteServed' | 'onBlocked'> {
-  /** Told of a call that was lost at a backend daemon; resolves once it is known whether the back end there ended. */
+  /** Records a call that was lost at a backend daemon; resolves once it is known whether the back end there terminated. */
   readonly noteLost: (backend: types.MemberFacts, call: quarantine.CallFingerprint) => Promise<void>
 }
 
 /** The quarantine of an entry node. */
 export interface EntryQuarantine {
   readonly guard: EntryGuard
-  /** Methods that other entry nodes call. */
+  /** RPC methods that other entry nodes call. */
   readonly methods: Record<string, rpc.RpcMethod>
   readonly isSettled: () => boolean
-  /** For operators: ends of back ends that are remembered, and calls that are blocked. */
+  /** Counters for operators: remembered terminations of back ends, and blocked calls. */
   readonly counts: () => { readonly 'quarantine.ends': number, readonly 'quarantine.blocked': number }
   readonly stop: () => void
 }
@@ -28,18 +28,18 @@
 /** Options of {@link createEntryQuarantine}. */
 export interface EntryQuarantineOptions {
   readonly parts: createCommonParts.CommonParts
-  /** Whether this entry node asks the platform for others, too. */
+  /** Whether this entry node reads the platform's store on behalf of others. */
   readonly mayAskStore: () => boolean
 }
 
 export const FACTS_METHOD = 'facts'
 export const ENDED_METHOD = 'back-end.ended'
-/** A call waits no longer for the answer whether its back end ended: a busy daemon takes a while, and an end that is missed costs one more back end. */
-const ENDED_CALL_MS = 1000
-const FACTS_CALL_MS = 1000
-const TICK_MS = 250
-/** Blocks are few, and those that are over are removed. */
-const BLOCKS_LISTED = 1000
+/** Longest wait for the answer whether a back end terminated; a busy daemon needs some time, and an undetected termination costs one more back end. */
+const ENDED_CALL_TIMEOUT_MS = 1000
+const FACTS_CALL_TIMEOUT_MS = 1000
+const TICK_INTERVAL_MS = 250
+/** Page size of the list; there are few blocks, since expired ones are removed. */
+const BLOCK_LIST_LIMIT = 1000
 
 /**
  * Creates the quarantine of an entry node.
@@ -55,7 +55,7 @@
     store: adaptStore(parts.store),
     mayAskStore,
     tell: (content, keptMs, ageMs) => { facts.tell(content, keptMs, ageMs) },
-    onToldEnd: () => {},
+    onReportedEnd: () => {},
     logger,
     count,
     now,
@@ -72,27 +72,27 @@
     now,
     random: parts.random
   })
-  const timer = setInterval(facts.tick, TICK_MS)
+  const timer = setInterval(facts.tick, TICK_INTERVAL_MS)
 
   function listEntryNodes (): types.MemberFacts[] {
     return view.members().filter((member) => member.facts.role === 'entry' && member.condition === 'live' && member.facts.node !== settings.node).map((member) => member.facts)
   }
 
-  /** What is lost on the way is made good when two entry nodes compare what they know. */
+  /** Not retried: entry nodes compare their facts regularly, which makes up for lost messages. */
   async function sendFacts (node: string, bytes: Buffer): Promise<void> {
     const member = view.find(types.brandId<types.NodeId>(node))
     if (member === undefined || isStopped) return
-    const sent = await parts.client.call(member.facts.address, FACTS_METHOD, { node: settings.node, text: bytes.toString() }, FACTS_CALL_MS)
+    const sent = await parts.client.call(member.facts.address, FACTS_METHOD, { node: settings.node, text: bytes.toString() }, FACTS_CALL_TIMEOUT_MS)
     if (!sent.ok) logger.debug('facts-not-sent', { node, error: sent.error.message })
   }
 
   async function noteLost (backend: types.MemberFacts, call: quarantine.CallFingerprint): Promise<void> {
     if (!settings.quarantine.enabled || backend.service === null) return
-    const asked = await parts.client.call<string | null>(backend.address, ENDED_METHOD, {}, ENDED_CALL_MS)
-    const verdict = !asked.ok ? 'unknown' : asked.value === null ? 'lives' : 'ended'
+    const response = await parts.client.call<string | null>(backend.address, ENDED_METHOD, {}, ENDED_CALL_TIMEOUT_MS)
+    const verdict = !response.ok ? 'unknown' : response.value === null ? 'lives' : 'ended'
     count('calls_lost', { verdict })
-    if (!asked.ok || typeof asked.value !== 'string') return
-    shared.noteEnd({ life: types.brandId<types.BackEndLife>(asked.value), name: backend.node, service: backend.service }, call)
+    if (!response.ok || typeof response.value !== 'string') return
+    shared.noteEnd({ life: types.brandId<types.BackEndLife>(response.value), name: backend.node, service: backend.service }, call)
   }
 
   return {
@@ -114,11 +114,11 @@
   }
 }
 
-/** Blocks as the object API keeps them. */
+/** Adapts the object API to the store interface of the block archive. */
 function adaptStore (objects: store.ObjectStore): createSharedQuarantine.SharedQuarantineOptions['store'] {
   return {
     listAll: async (kind) => {
-      const listed = await objects.list(kind, '', BLOCKS_LISTED)
+      const listed = await objects.list(kind, '', BLOCK_LIST_LIMIT)
       if (!listed.ok) return listed
       return types.succeed({ at: 0, objects: listed.value.map(({ name, version, value }) => ({ name, revision: version, value })) })
     },
--- a/packages/daemon/src/createNodeListPoll/index.ts
+++ b/packages/daemon/src/createNodeListPoll/index.ts
@@ -1,8 +1,8 @@
-/** Reads the platform's node list once a second, less often while it is unavailable. */
+/** Polls the platform's node list once a second, with exponential backoff while the platform is unavailable. */
 import * as types from '@switchridge/types'
 import type * as membership from '@switchridge/membership'
 
-/** The poll of an entry node. */
+/** The node list poll of an entry node. */
 export interface NodeListPoll {
   readonly start: () => void
   readonly stop: () => void
@@ -15,10 +15,10 @@
  * Creates the poll.
  *
  * @param read - Reads the list.
- * @param onList - Takes the list.
+ * @param onList - Called with each list.
  * @param random - Random number from 0 to 1, for the jitter.
- * @param isReader - Whether it is this entry node's part to read the list; hubs do and pass it on.
- * @returns The poll, stopped.
+ * @param isReader - Whether this entry node has to read the list; hubs do, and pass it on.
+ * @returns The poll, not yet started.
  */
 export function createNodeListPoll (
   read: () => Promise<types.Outcome<readonly membership.ListedNode[], types.UnavailableError>>,
@@ -26,7 +26,7 @@
   random: () => number,
   isReader: () => boolean
 ): NodeListPoll {
-  const stop = new AbortController()
+  const stopController = new AbortController()
   let failures = 0
 
   async function readOnce (): Promise<void> {
@@ -36,11 +36,11 @@
   }
 
   async function run (): Promise<void> {
-    while (!stop.signal.aborted) {
+    while (!stopController.signal.aborted) {
       if (isReader()) await readOnce()
       await types.delay(Math.min(BACKOFF_MAXIMUM_MS, INTERVAL_MS * 2 ** failures) * (0.75 + random() / 2))
     }
   }
 
-  return { start: () => { void run() }, stop: () => { stop.abort() } }
+  return { start: () => { void run() }, stop: () => { stopController.abort() } }
 }
--- a/packages/daemon/src/createPlacementLoop/index.ts
+++ b/packages/daemon/src/createPlacementLoop/index.ts
@@ -1,4 +1,4 @@
-/** Brings a backend server to what the placement asks of it: fetch, check, load, serve, and retire what is replaced. */
+/** Brings a backend server to the state that the placement assigns to it: fetches, verifies, loads and serves versions, and unloads replaced ones. */
 import * as types from '@switchridge/types'
 import type * as membership from '@switchridge/membership'
 import type * as observability from '@switchridge/observability'
@@ -26,68 +26,68 @@
   readonly onServing: () => void
 }
 
-/** The loop of a backend daemon. */
+/** The reconciliation loop of a backend daemon. */
 export interface PlacementLoop {
-  /** Looks at the table and the members again; steps that wait for something are taken up when it is there. */
+  /** Re-evaluates the table and the members; steps that had to wait are retried. */
   readonly reconcile: () => void
 }
 
 /**
- * Creates the loop.
+ * Creates the reconciliation loop.
  *
- * @param options - What it looks at and acts on.
+ * @param options - The inputs it reads and the components it controls.
  * @returns The loop.
  */
 export function createPlacementLoop (options: PlacementLoopOptions): PlacementLoop {
   const { serving, store, logger } = options
   const loaded = new Map<types.Digest, number>()
   const retiring = new Set<types.Digest>()
-  let isActing = false
-  let isStale = false
+  let isRunning = false
+  let needsPass = false
 
   function reconcile (): void {
-    const assignments = computeOwn()
+    const assignments = computeOwnAssignments()
     options.transfer.setWanted(assignments.map((assignment) => options.plan(assignment.row, options.view.members())))
     dropUnwanted(assignments)
-    isStale = true
-    if (!isActing) void act()
+    needsPass = true
+    if (!isRunning) void runPasses()
   }
 
-  function computeOwn (): placement.Assignment[] {
+  function computeOwnAssignments (): placement.Assignment[] {
     const { node } = options.self.read()
     const placed = placement.computePlacement(options.keeper.current(), options.view.members())
     return placed.assignments.filter((assignment) => assignment.node === node).sort((left, right) => left.order - right.order)
   }
 
-  /** Gives up chunks that nothing needs, once versions that may share them are open. */
+  /** Drops chunks that no assigned version needs, but only once all assigned versions are open in the store, since they may share these chunks. */
   function dropUnwanted (assignments: readonly placement.Assignment[]): void {
     const wanted = new Set(assignments.map((assignment) => assignment.row.manifest))
-    const areOpen = [...wanted].every((digest) => store.find(digest) !== undefined)
-    if (!areOpen) return
+    const areAllOpen = [...wanted].every((digest) => store.find(digest) !== undefined)
+    if (!areAllOpen) return
     for (const digest of store.digests()) if (!wanted.has(digest)) store.drop(digest)
   }
 
-  async function act (): Promise<void> {
-    isActing = true
-    while (isStale) {
-      isStale = false
-      const assignments = computeOwn()
+  async function runPasses (): Promise<void> {
+    isRunning = true
+    while (needsPass) {
+      needsPass = false
+      const assignments = computeOwnAssignments()
       const waiting: string[] = []
       for (const assignment of assignments) {
-        const reason = await advance(assignment.row)
+        const reason = await advanceRow(assignment.row)
         if (reason !== '') waiting.push(`${assignment.row.id}: ${reason}`)
       }
       retireUnassigned(assignments)
       publish(waiting.join('; '))
     }
-    isActing = false
+    isRunning = false
   }
 
-  /** Takes the next steps of one row; returns what it waits for, or nothing when it serves. */
-  async function advance (row: types.ModelRow): Promise<string> {
+  /** Takes the next steps for one row; returns what it waits for, or an empty string once the version serves. */
+  async function advanceRow (row: types.ModelRow): Promise<string> {
     const current = serving.find(row.id)
     if (current?.manifest === row.manifest) {
-      if (current.version !== row.version) serving.set(toServed(row))
+      if (current.version !== row.version) serving.set(toServedVersion(row))
       return ''
     }
     const holding = store.find(row.manifest)
@@ -95,10 +95,10 @@
     if (!holding.isComplete()) return `${holding.manifest.chunks.length - holding.count()} of ${holding.manifest.chunks.length} chunks`
     if (row.base !== null && serving.find(row.base) === undefined) return `its base ${row.base}`
     if (!loaded.has(row.manifest)) {
-      const reason = await load(row, holding, current)
+      const reason = await loadVersion(row, holding, current)
       if (reason !== '') return reason
     }
-    serving.set(toServed(row))
+    serving.set(toServedVersion(row))
     logger.info('serving', { row: row.id, version: row.version, manifest: row.manifest })
     options.onServing()
     publish('')
@@ -106,8 +106,8 @@
     return ''
   }
 
-  async function load (row: types.ModelRow, holding: transfer.Holding, current: types.ServedVersion | undefined): Promise<string> {
-    if (usedMemory() + row.bytes > options.self.read().memoryBytes && current !== undefined) {
+  async function loadVersion (row: types.ModelRow, holding: transfer.Holding, current: types.ServedVersion | undefined): Promise<string> {
+    if (sumLoadedBytes() + row.bytes > options.self.read().memoryBytes && current !== undefined) {
       if (!placement.mayLeaveVersion(row, options.self.read().node, options.view.members())) return 'its turn to change version'
       serving.remove(row.id)
       publish(`${row.id}: loading`)
@@ -125,11 +125,11 @@
     return ''
   }
 
-  function usedMemory (): number {
+  function sumLoadedBytes (): number {
     return [...loaded.values()].reduce((sum, bytes) => sum + bytes, 0)
   }
 
-  /** Unloads a version that no row serves any more, after the calls that hold it have ended. */
+  /** Unloads a version that no row serves any more, once the calls pinned to it have ended. */
   async function retire (manifest: types.Digest): Promise<void> {
     if (isServed(manifest) || retiring.has(manifest)) return
     retiring.add(manifest)
@@ -162,6 +162,6 @@
   return { reconcile }
 }
 
-function toServed (row: types.ModelRow): types.ServedVersion {
+function toServedVersion (row: types.ModelRow): types.ServedVersion {
   return { row: row.id, version: row.version, manifest: row.manifest }
 }
--- a/packages/daemon/src/createPlacementLoop/test.ts
+++ b/packages/daemon/src/createPlacementLoop/test.ts
@@ -24,8 +24,8 @@
 
 const settle = async (): Promise<void> => { for (let turn = 0; turn < 20; turn += 1) await new Promise((resolve) => { setImmediate(resolve) }) }
 
-/** A backend daemon's loop before an engine that records its orders. */
-function openLoop (memoryBytes: number) {
+/** Creates a backend daemon's loop with an engine that records its orders. */
+function createLoop (memoryBytes: number) {
   const logger = observability.createLogger('loop-test', {}, { level: 'silent' })
   const keeper = createTableKeeper.createTableKeeper(logger)
   const view = membership.createMemberView({ now: () => 0 })
@@ -49,7 +49,7 @@
   const serving = createServing.createServing()
   const orders: string[] = []
   const engine = { failure: '' }
-  const give = async (order: string) => {
+  const recordOrder = async (order: string) => {
     orders.push(order)
     return engine.failure === '' ? types.succeed(null) : types.fail(new createEngineOrders.OrderError(engine.failure))
   }
@@ -61,7 +61,7 @@
     serving,
     logger,
     transfer: { setWanted: () => {} } as unknown as transfer.Transfer,
-    orders: { load: async ({ manifest }) => await give(`load ${manifest}`), unload: async (manifest) => await give(`unload ${manifest}`) },
+    orders: { load: async ({ manifest }) => await recordOrder(`load ${manifest}`), unload: async (manifest) => await recordOrder(`unload ${manifest}`) },
     weights: { offer: () => ({ url: '', withdraw: () => {} }), close: () => {} },
     plan: (() => ({})) as never,
     onServing: () => {}
@@ -87,9 +87,9 @@
 }
 
 test.describe('createPlacementLoop', () => {
-  test.it('loads nothing before the last chunk is there, and serves only what the engine confirmed', async () => {
+  test.it('loads nothing before the last chunk has arrived, and serves only what the engine confirmed', async () => {
     const version = await makeVersion('aaaabbbb')
-    const loop = openLoop(100)
+    const loop = createLoop(100)
     await loop.place(version)
     await loop.fill(version, 1)
     assert.deepEqual(loop.orders, [])
@@ -105,7 +105,7 @@
 
   test.it('keeps the old version loaded until the calls that began on it have ended', async () => {
     const [first, second] = [await makeVersion('aaaabbbb'), await makeVersion('aaaacccc')]
-    const loop = openLoop(100)
+    const loop = createLoop(100)
     await loop.place(first)
     await loop.fill(first, 2)
     const pin = loop.serving.pin(ROW)
@@ -118,9 +118,9 @@
     assert.equal(loop.orders.at(-1), `unload ${first.digest}`)
   })
 
-  test.it('does not unload a version that came back while its calls ended', async () => {
+  test.it('does not unload a version that was assigned again while its calls were draining', async () => {
     const [first, second] = [await makeVersion('aaaabbbb'), await makeVersion('aaaacccc')]
-    const loop = openLoop(100)
+    const loop = createLoop(100)
     await loop.place(first)
     await loop.fill(first, 2)
     const pin = loop.serving.pin(ROW)
@@ -134,9 +134,9 @@
     assert.ok(!loop.orders.includes(`unload ${first.digest}`))
   })
 
-  test.it('without room waits for its turn, so that enough replicas serve', async () => {
+  test.it('waits for its turn when memory holds only one version, so that enough replicas keep serving', async () => {
     const [first, second] = [await makeVersion('aaaabbbb'), await makeVersion('aaaacccc')]
-    const loop = openLoop(BYTES)
+    const loop = createLoop(BYTES)
     await loop.place(first)
     await loop.fill(first, 2)
     await loop.place(second, 1)
--- a/packages/daemon/src/createRateLimiter/index.ts
+++ b/packages/daemon/src/createRateLimiter/index.ts
@@ -1,4 +1,4 @@
-/** Keeps the rates that back ends name, together with all other gateways: what is in force, and permits for each request to such a back end. */
+/** Enforces the rate limits that back ends state, together with all other gateways: records the limits in force and obtains a permit for each request to a limited back end. */
 import type * as gateway from '@switchridge/gateway'
 import * as rateLimits from '@switchridge/rate-limits'
 import type * as spread from '@switchridge/spread'
@@ -11,9 +11,9 @@
 /** Options of {@link createRateLimiter}. */
 export interface RateLimiterOptions {
   readonly parts: Pick<createFleetParts.FleetParts, 'settings' | 'backEnds' | 'logger' | 'metrics' | 'at' | 'now'>
-  /** The exchange with other daemons; null before it is open. */
+  /** The exchange with other daemons; null until it is open. */
   readonly exchange: () => createFleetExchange.FleetExchange | null
-  /** Whether this gateway is about to end. */
+  /** Whether this gateway is shutting down. */
   readonly isLeaving: () => boolean
   /** Random number from 0 to 1. */
   readonly random: () => number
@@ -21,20 +21,20 @@
 
 /** The rate limiter of a gateway. */
 export interface GatewayRateLimiter extends gateway.RateLimiter {
-  /** Notes what a back end's report named at a monotonic time in milliseconds; all gateways hear of reports. */
+  /** Records a limit stated in a back end's report, with the monotonic time of the report in milliseconds; reports reach all gateways. */
   readonly noteReported: (backEnd: gateway.BackEnd, perSecond: number, at: number) => void
   /** Limits in force. */
   readonly inForce: () => rateLimits.RateLimit[]
-  /** Forgets what belongs to back ends that are no longer listed. */
+  /** Forgets the limits of back ends that are no longer listed. */
   readonly keepListed: () => void
-  /** Takes what another gateway told; false if it is about something else. */
+  /** Handles a fact from another gateway; returns false if the fact is not about rate limits. */
   readonly noteFact: (content: unknown, madeAt: number) => boolean
-  /** Takes a datagram; false if it is about something else. */
+  /** Handles a datagram; returns false if it is not about permits. */
   readonly receive: (bytes: Buffer, from: string) => boolean
 }
 
-/** A limit is told again while it holds; what was told before must not crowd out other facts. */
-const FACT_KEPT_MS = 90_000
+/** Peers keep a published limit for this long. A limit is published again while it is in force, so that outdated ones don't crowd out other facts. */
+const FACT_LIFETIME_MS = 90_000
 
 /**
  * Creates the rate limiter of a gateway.
@@ -44,7 +44,7 @@
  */
 export function createRateLimiter (options: RateLimiterOptions): GatewayRateLimiter {
   const { backEnds, logger, metrics: { count }, at, now } = options.parts
-  const record = rateLimits.createRateLimitRecord({ onChange: noteChange, onUnreadable: noteUnreadable, tell: tellLimit, now })
+  const record = rateLimits.createRateLimitRecord({ onChange: noteChange, onUnreadable: noteUnreadable, tell: publishLimit, now })
   const counter = rateLimits.createPermitCounter(now)
   const { node, host: ownHost, zone } = options.parts.settings
   const client = rateLimits.createPermitClient({ ownHost, counter, findCounter, send, count, at, now, random: options.random })
@@ -65,13 +65,13 @@
     logger.warn('rate-limit-unreadable', { life, text })
   }
 
-  function tellLimit (limit: rateLimits.RateLimit): void {
-    options.exchange()?.facts.tell(rateLimitFacts.formatFact(limit), FACT_KEPT_MS, now() - limit.heardAt)
+  function publishLimit (limit: rateLimits.RateLimit): void {
+    options.exchange()?.facts.tell(rateLimitFacts.formatFact(limit), FACT_LIFETIME_MS, now() - limit.heardAt)
   }
 
   function listCandidates (): rateLimits.CounterCandidate[] {
     const gossip = options.exchange()?.gossip
-    const others = gossip?.peers().map((peer) => ({ ...pickCandidate(peer.heartbeat), isLive: gossip.isLive(peer) })) ?? []
+    const others = gossip?.peers().map((peer) => ({ ...toCandidate(peer.heartbeat), isLive: gossip.isLive(peer) })) ?? []
     return [{ node: types.brandId(node), host: ownHost, zone, role: 'gateway', isLeaving: options.isLeaving(), isLive: true }, ...others]
   }
 
@@ -95,8 +95,8 @@
     const askedAt = now()
     const answer = await client.acquire(limit, isLate)
     if (!answer.isGranted) {
-      const asked = findCounter(limit.life)?.host
-      logger.info('permit-refused', { backEnd: backEnd.id, counter: asked, perSecond: limit.perSecond, isLate, ageMs: Math.round(askedAt - limit.heardAt), tookMs: Math.round(now() - askedAt), waitMs: Math.round(answer.waitMs) })
+      const counterHost = findCounter(limit.life)?.host
+      logger.info('permit-refused', { backEnd: backEnd.id, counter: counterHost, perSecond: limit.perSecond, isLate, ageMs: Math.round(askedAt - limit.heardAt), tookMs: Math.round(now() - askedAt), waitMs: Math.round(answer.waitMs) })
     }
     return answer
   }
@@ -123,6 +123,6 @@
   }
 }
 
-function pickCandidate ({ node, host, zone, role, isLeaving }: spread.Heartbeat): Omit<rateLimits.CounterCandidate, 'isLive'> {
+function toCandidate ({ node, host, zone, role, isLeaving }: spread.Heartbeat): Omit<rateLimits.CounterCandidate, 'isLive'> {
   return { node, host, zone, role, isLeaving }
 }
--- a/packages/daemon/src/createSharedQuarantine/index.ts
+++ b/packages/daemon/src/createSharedQuarantine/index.ts
@@ -1,4 +1,4 @@
-/** What daemons that send calls know together of those that end back ends: what this one saw, what others tell it, and what all keep in the store. */
+/** Combines the evidence about calls that crash back ends: what this daemon observed, what peers report and what the store holds. */
 import * as quarantine from '@switchridge/quarantine'
 import type * as observability from '@switchridge/observability'
 import type * as settings from '@switchridge/settings'
@@ -10,56 +10,56 @@
 export interface SharedQuarantineOptions {
   readonly settings: settings.QuarantineSettings
   readonly store: createBlockArchive.BlockArchiveOptions['store']
-  /** Whether this daemon asks the store for others, too. */
+  /** Whether this daemon reads the store on behalf of others. */
   readonly mayAskStore: () => boolean
-  /** Tells all others a fact. */
+  /** Publishes a fact to all peers. */
   readonly tell: (content: unknown, keptMs: number, ageMs: number) => void
-  /** Told of ends that others saw, with the monotonic time in milliseconds. */
-  readonly onToldEnd: (life: types.BackEndLife, at: number) => void
+  /** Called with terminations of back ends that peers observed, and their monotonic time in milliseconds. */
+  readonly onReportedEnd: (life: types.BackEndLife, at: number) => void
   readonly logger: observability.Logger
   readonly count: (name: string, labels?: Readonly<Record<string, string>>) => void
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
-  /** Unix milliseconds. */
+  /** Wall clock in Unix milliseconds. */
   readonly timeOfDay: () => number
 }
 
-/** A back end that ended while calls of this daemon were there. */
+/** A back end that terminated while it held calls of this daemon. */
 export interface EndedBackEnd {
   readonly life: types.BackEndLife
-  /** Its name in logs. */
+  /** Its name for log lines. */
   readonly name: string
   readonly service: types.ServiceName
 }
 
-/** The quarantine of one daemon. */
+/** The call quarantine of one daemon. */
 export interface SharedQuarantine {
-  /** Whether any call is suspected or blocked; otherwise nobody needs to know which call is which. */
+  /** Whether any call is suspected or blocked; while none is, callers can skip computing fingerprints. */
   readonly isActive: () => boolean
-  /** Milliseconds for which a call is still blocked; null when it may run. */
+  /** Returns the remaining block time of a call in milliseconds; null when the call may run. */
   readonly findBlock: (call: quarantine.CallFingerprint) => number | null
-  /** Notes a back end's end with one call of this daemon that it took along. */
+  /** Records that a back end terminated and lost one call of this daemon. */
   readonly noteEnd: (ended: EndedBackEnd, call: quarantine.CallFingerprint) => void
   readonly noteServed: (call: quarantine.CallFingerprint) => void
-  /** Registers who is told of each call that is blocked. */
+  /** Registers a listener for each call that becomes blocked. */
   readonly onBlocked: (listener: (call: quarantine.CallFingerprint) => void) => void
-  /** Takes what another daemon told. */
+  /** Handles a fact from another daemon. */
   readonly noteFact: (content: unknown, madeAt: number) => void
-  /** Whether this daemon had the time to hear of blocks since it started. */
+  /** Whether this daemon has loaded the blocks in force, or has had enough time to receive them from peers. */
   readonly isSettled: () => boolean
   readonly blocks: () => quarantine.CallBlock[]
   readonly countSuspects: () => number
-  /** Ends of back ends that are remembered, those that others told included. */
+  /** Number of remembered terminations of back ends, including those that peers reported. */
   readonly countEnds: () => number
   readonly stop: () => void
 }
 
-/** Calls that are lost with one back end are noticed within milliseconds of each other, and told together. */
-const MERGE_MS = 10
-const LOGGED_CALLS = 8
+/** Calls lost with the same back end are noticed within milliseconds of each other; collecting them this long publishes them together. */
+const END_BATCH_MS = 10
+const MAXIMUM_LOGGED_FINGERPRINTS = 8
 
-/** Where the word comes from by which a call is blocked. */
-type Source = 'own' | 'peer' | 'store'
+/** Where the evidence comes from that blocks a call. */
+type BlockSource = 'own' | 'peer' | 'store'
 
 function readLimits (limits: settings.QuarantineSettings): quarantine.QuarantineLimits {
   return {
@@ -72,8 +72,8 @@
   }
 }
 
-/** What a daemon has whose settings switch the quarantine off. */
-const NO_QUARANTINE: SharedQuarantine = {
+/** The quarantine of a daemon whose settings disable it. */
+const DISABLED_QUARANTINE: SharedQuarantine = {
   isActive: () => false,
   findBlock: () => null,
   noteEnd: () => {},
@@ -90,36 +90,36 @@
 /**
  * Creates the quarantine of one daemon.
  *
- * @param options - Limits, ways to others, and clocks.
- * @returns The quarantine; one that blocks nothing where the settings switch it off.
+ * @param options - Limits, store, connection to peers and clocks.
+ * @returns The quarantine; one that blocks nothing if the settings disable it.
  */
 export function createSharedQuarantine (options: SharedQuarantineOptions): SharedQuarantine {
-  return options.settings.enabled ? createEnabled(options) : NO_QUARANTINE
+  return options.settings.enabled ? createEnabled(options) : DISABLED_QUARANTINE
 }
 
 function createEnabled (options: SharedQuarantineOptions): SharedQuarantine {
   const { logger, count, now } = options
   const limits = readLimits(options.settings)
   const listeners: Array<(call: quarantine.CallFingerprint) => void> = []
-  /** Calls that this daemon lost, by the back ends that ended, until others are told. */
-  const lost = new Map<types.BackEndLife, Set<quarantine.CallFingerprint>>()
-  /** Of the word that is being noted. */
-  let source: Source = 'peer'
+  /** Calls that this daemon lost, by terminated back end, until they are published. */
+  const lostCalls = new Map<types.BackEndLife, Set<quarantine.CallFingerprint>>()
+  /** Origin of the evidence that is being recorded; read by the callbacks of the record. */
+  let source: BlockSource = 'peer'
   const record = quarantine.createQuarantine({ limits, onBlocked: noteBlocked, onReleased: noteReleased, now })
   const archive = createBlockArchive.createBlockArchive({
     store: options.store,
     limits,
-    mayAsk: options.mayAskStore,
-    onBlock: noteStored,
+    mayAskStore: options.mayAskStore,
+    onBlock: recordStoredBlock,
     isInForce: ({ fingerprint, since }) => record.blocks().some((block) => block.fingerprint === fingerprint && block.since === since),
     logger,
     now,
     timeOfDay: options.timeOfDay
   })
 
-  function noteFrom (from: Source, note: () => void): void {
+  function recordFrom (from: BlockSource, update: () => void): void {
     source = from
-    note()
+    update()
     source = 'peer'
   }
 
@@ -129,7 +129,7 @@
     count('call_blocks', { source })
     logger.warn('call-blocked', { fingerprint, source, times, seconds: Math.round(leftMs / types.MILLISECONDS_IN_SECOND), ends: lives.length, backEnds: lives.slice(-limits.ends).join() })
     if (source === 'own') archive.save(block)
-    if (source !== 'peer') tell({ kind: 'block', call: fingerprint, count: times }, quarantine.computeBlockKeptMs(times, limits), now() - since)
+    if (source !== 'peer') publish({ kind: 'block', call: fingerprint, count: times }, quarantine.computeBlockKeptMs(times, limits), now() - since)
     for (const listener of listeners) listener(fingerprint)
   }
 
@@ -138,32 +138,32 @@
     logger.warn('call-released', { fingerprint, reason })
   }
 
-  function noteStored (block: quarantine.CallBlock): void {
-    noteFrom('store', () => { record.noteBlock(block) })
+  function recordStoredBlock (block: quarantine.CallBlock): void {
+    recordFrom('store', () => { record.noteBlock(block) })
   }
 
-  function tell (fact: quarantineFacts.QuarantineFact, keptMs: number, ageMs = 0): void {
+  function publish (fact: quarantineFacts.QuarantineFact, keptMs: number, ageMs = 0): void {
     options.tell(quarantineFacts.formatFact(fact), keptMs, ageMs)
   }
 
   function noteEnd (ended: EndedBackEnd, call: quarantine.CallFingerprint): void {
     const { life } = ended
-    const known = lost.get(life)
-    if (known === undefined) {
-      lost.set(life, new Set([call]))
-      setTimeout(() => { tellEnd(ended) }, MERGE_MS)
+    const existing = lostCalls.get(life)
+    if (existing === undefined) {
+      lostCalls.set(life, new Set([call]))
+      setTimeout(() => { publishEnd(ended) }, END_BATCH_MS)
     } else {
-      known.add(call)
+      existing.add(call)
     }
-    noteFrom('own', () => { record.noteEnd({ life, at: now(), calls: new Set([call]) }) })
+    recordFrom('own', () => { record.noteEnd({ life, at: now(), calls: new Set([call]) }) })
   }
 
-  function tellEnd ({ life, name, service }: EndedBackEnd): void {
-    const calls = [...lost.get(life) ?? []]
-    lost.delete(life)
+  function publishEnd ({ life, name, service }: EndedBackEnd): void {
+    const calls = [...lostCalls.get(life) ?? []]
+    lostCalls.delete(life)
     count('back_ends_ended', { service })
-    logger.warn('back-end-ended', { backEnd: name, service, calls: calls.length, fingerprints: calls.slice(0, LOGGED_CALLS).join() })
-    for (let at = 0; at < calls.length; at += quarantineFacts.MAXIMUM_CALLS) tell({ kind: 'end', life, calls: calls.slice(at, at + quarantineFacts.MAXIMUM_CALLS) }, limits.evidenceMs)
+    logger.warn('back-end-ended', { backEnd: name, service, calls: calls.length, fingerprints: calls.slice(0, MAXIMUM_LOGGED_FINGERPRINTS).join() })
+    for (let at = 0; at < calls.length; at += quarantineFacts.MAXIMUM_CALLS) publish({ kind: 'end', life, calls: calls.slice(at, at + quarantineFacts.MAXIMUM_CALLS) }, limits.evidenceMs)
   }
 
   function noteFact (content: unknown, madeAt: number): void {
@@ -173,7 +173,7 @@
     else if (fact.kind === 'block') record.noteBlock({ fingerprint: fact.call, count: fact.count, since: madeAt })
     else {
       record.noteEnd({ life: fact.life, at: madeAt, calls: new Set(fact.calls) })
-      options.onToldEnd(fact.life, madeAt)
+      options.onReportedEnd(fact.life, madeAt)
     }
   }
 
@@ -181,12 +181,12 @@
     noteEnd,
     noteFact,
     noteServed: (call) => {
-      if (record.noteServed(call, now())) tell({ kind: 'served', call }, limits.evidenceMs)
+      if (record.noteServed(call, now())) publish({ kind: 'served', call }, limits.evidenceMs)
     },
     isActive: record.isActive,
     findBlock: record.findBlock,
     onBlocked: (listener) => { listeners.push(listener) },
-    isSettled: archive.isSettled,
+    isSettled: archive.isInitialized,
     blocks: record.blocks,
     countSuspects: record.countSuspects,
     countEnds: record.countEnds,
--- a/packages/daemon/src/createTableKeeper/index.ts
+++ b/packages/daemon/src/createTableKeeper/index.ts
@@ -1,23 +1,23 @@
-/** Keeps the table in force; a revision never goes back. */
+/** Holds the table in force; its revision never decreases. */
 import * as types from '@switchridge/types'
 import * as tables from '@switchridge/table'
 import type * as observability from '@switchridge/observability'
 
-/** What became of an offered table. */
+/** Result of offering a table. */
 export type OfferResult = 'adopted' | 'known' | 'older' | 'contradiction'
 
-/** The table of one daemon. */
+/** Holds the table of one daemon. */
 export interface TableKeeper {
   readonly current: () => types.Table
-  /** Adopts the table if its revision is higher than the one in force. */
+  /** Adopts the table if its revision is higher than that of the table in force. */
   readonly offer: (table: types.Table, from: string) => OfferResult
-  /** Checks and offers a table that came from outside. */
+  /** Validates and offers a table from an untrusted source. */
   readonly offerUnchecked: (value: unknown, from: string) => OfferResult | 'invalid'
   readonly onAdopt: (listener: (table: types.Table) => void) => void
 }
 
 /**
- * Creates the keeper of a daemon, empty at revision 0.
+ * Creates a table keeper with the empty table at revision 0.
  *
  * @param logger - Where adoptions and contradictions are logged.
  * @returns The keeper.
@@ -25,7 +25,7 @@
 export function createTableKeeper (logger: observability.Logger): TableKeeper {
   const listeners: Array<(table: types.Table) => void> = []
   let current = types.EMPTY_TABLE
-  let warnedOf = ''
+  let lastWarningKey = ''
 
   function offer (table: types.Table, from: string): OfferResult {
     if (table.revision > current.revision) {
@@ -48,8 +48,8 @@
   }
 
   function warnOnce (key: string, event: string, fields: observability.LogFields): void {
-    if (warnedOf === key) return
-    warnedOf = key
+    if (lastWarningKey === key) return
+    lastWarningKey = key
     logger.error(event, fields)
   }
 
--- a/packages/daemon/src/createTableWatch/index.ts
+++ b/packages/daemon/src/createTableWatch/index.ts
@@ -1,4 +1,4 @@
-/** Watches the table at the platform: two entry nodes of each data hall do, whatever the hall's size. */
+/** Watches the table at the platform. Two entry nodes of each data hall watch, whatever the size of the hall. */
 import * as types from '@switchridge/types'
 import * as membership from '@switchridge/membership'
 import type * as observability from '@switchridge/observability'
@@ -16,14 +16,14 @@
   readonly random: () => number
 }
 
-/** The watch of an entry node. */
+/** The table watch of an entry node. */
 export interface TableWatch {
   readonly start: () => void
   readonly stop: () => void
 }
 
 const WATCHERS_PER_HALL = 2
-const NOT_WATCHING_PAUSE_MS = 500
+const ROLE_CHECK_INTERVAL_MS = 500
 const BACKOFF_BASE_MS = 250
 const BACKOFF_MAXIMUM_MS = 4000
 
@@ -35,40 +35,40 @@
  * @returns True for the first two live entry nodes in rendezvous order.
  */
 export function isTableWatcher (self: types.MemberFacts, members: readonly membership.Member[]): boolean {
-  const able = members.filter(({ facts, condition }) => facts.role === 'entry' && facts.dataHall === self.dataHall && condition === 'live' && facts.state === 'live')
-  const ranked = membership.rankByRendezvous(`table-watch/${self.dataHall}`, able, (member) => member.facts.node)
+  const eligible = members.filter(({ facts, condition }) => facts.role === 'entry' && facts.dataHall === self.dataHall && condition === 'live' && facts.state === 'live')
+  const ranked = membership.rankByRendezvous(`table-watch/${self.dataHall}`, eligible, (member) => member.facts.node)
   return ranked.slice(0, WATCHERS_PER_HALL).some((member) => member.facts.node === self.node)
 }
 
 /**
  * Creates the watch.
  *
- * @param options - Platform, table and whose turn it is.
- * @returns The watch, stopped.
+ * @param options - Platform, table and whether this node is a watcher.
+ * @returns The watch, not yet started.
  */
 export function createTableWatch (options: TableWatchOptions): TableWatch {
   const abort = new AbortController()
-  let version = 0
+  let lastVersion = 0
   let failures = 0
 
   async function run (): Promise<void> {
     while (!abort.signal.aborted) {
       if (!options.isWatcher()) {
-        await types.delay(NOT_WATCHING_PAUSE_MS)
+        await types.delay(ROLE_CHECK_INTERVAL_MS)
         continue
       }
-      const seen = await options.store.watch(tables.TABLE_KIND, tables.TABLE_NAME, version, abort.signal)
+      const watched = await options.store.watch(tables.TABLE_KIND, tables.TABLE_NAME, lastVersion, abort.signal)
       if (abort.signal.aborted) return
-      if (seen.ok) take(seen.value)
-      else await backOff(seen.error)
+      if (watched.ok) applyObject(watched.value)
+      else await backOff(watched.error)
     }
   }
 
-  function take (object: platform.VersionedObject | null): void {
+  function applyObject (object: platform.VersionedObject | null): void {
     if (failures > 0) options.logger.info('platform-back', { failures })
     failures = 0
     if (object === null) return
-    version = object.version
+    lastVersion = object.version
     options.keeper.offerUnchecked(object.value, 'platform')
   }
 
--- a/packages/daemon/src/createWatchDuty/test.ts
+++ b/packages/daemon/src/createWatchDuty/test.ts
@@ -6,29 +6,29 @@
 
 const ZONE = 'hall-a'
 const GATEWAYS = 13
-const SELDOM_MS = 1500
-const LIVE_MS = 4800
+const SLOW_HEARTBEAT_MS = 1500
+const LIVENESS_TIMEOUT_MS = 4800
 
 interface Hall {
   readonly duties: Map<string, createWatchDuty.WatchDuty>
   readonly ranked: readonly string[]
-  readonly lost: Set<string>
+  readonly withoutStore: Set<string>
   readonly silent: Set<string>
   readonly advance: (milliseconds: number) => void
-  /** Nodes that ask the store. */
-  readonly watching: (isKnown?: boolean, reach?: createWatchDuty.WatchReach) => string[]
+  /** Nodes that watch the store. */
+  readonly watching: (isKnown?: boolean, scope?: createWatchDuty.WatchScope) => string[]
 }
 
-/** Gateways of one hall: the first eight of the ranking hear the first four every 100 ms, and all others each other every 1.5 s. */
+/** Creates the gateways of one hall: the first eight of the ranking hear the first four every 100 ms, and all others hear each other every 1.5 s. */
 function createHall (count: number): Hall {
   let time = 0
-  const lost = new Set<string>()
+  const withoutStore = new Set<string>()
   const silent = new Set<string>()
   const heardAt = new Map<string, number>()
-  const heardSeldom = new Map<string, number>()
+  const slowHeardAt = new Map<string, number>()
   const nodes = Array.from({ length: count }, (_, index) => `gateway-${index}`)
   const describe = (node: string): spread.Heartbeat => ({
-    node: types.brandId(node), role: 'gateway', zone: ZONE, host: node, isLeaving: false, isStoreLost: lost.has(node), copies: {}, versions: [], suspects: [], engine: null
+    node: types.brandId(node), role: 'gateway', zone: ZONE, host: node, isLeaving: false, isStoreLost: withoutStore.has(node), copies: {}, versions: [], suspects: [], engine: null
   })
   const ranked = spread.rankGateways(nodes.map(describe), ZONE).map(({ node }): string => node)
   const isFirst = (node: string): boolean => ranked.indexOf(node) < spread.CANDIDATES
@@ -37,28 +37,28 @@
     node: types.brandId(node),
     role: 'gateway',
     zone: ZONE,
-    peers: () => nodes.filter((other) => other !== node).map((other) => ({ heartbeat: describe(other), heardAt: (isListener(node) && isFirst(other) ? heardAt : heardSeldom).get(other) ?? 0 })),
-    isLive: (peer) => time - peer.heardAt <= LIVE_MS,
-    isStoreLost: () => lost.has(node),
+    peers: () => nodes.filter((other) => other !== node).map((other) => ({ heartbeat: describe(other), heardAt: (isListener(node) && isFirst(other) ? heardAt : slowHeardAt).get(other) ?? 0 })),
+    isLive: (peer) => time - peer.heardAt <= LIVENESS_TIMEOUT_MS,
+    isStoreLost: () => withoutStore.has(node),
     now: () => time
   })]))
   return {
     duties,
     ranked,
-    lost,
+    withoutStore,
     silent,
     advance: (milliseconds) => {
       for (let passed = 0; passed < milliseconds; passed += 100) {
         time += 100
         for (const node of nodes) if (!silent.has(node)) heardAt.set(node, time)
-        if (time % SELDOM_MS === 0) for (const [node, at] of heardAt) heardSeldom.set(node, at)
+        if (time % SLOW_HEARTBEAT_MS === 0) for (const [node, at] of heardAt) slowHeardAt.set(node, at)
       }
     },
-    watching: (isKnown = true, reach = 'each-hall') => nodes.filter((node) => !silent.has(node) && duties.get(node)?.mayWatch(isKnown, !lost.has(node), reach))
+    watching: (isKnown = true, scope = 'each-hall') => nodes.filter((node) => !silent.has(node) && duties.get(node)?.mayWatch(isKnown, !withoutStore.has(node), scope))
   }
 }
 
-nodeTest.test('of a large hall two ask the store, and of a small one all do', () => {
+nodeTest.test('two gateways of a large hall watch the store, and all of a small one', () => {
   const large = createHall(GATEWAYS)
   assert.deepEqual(large.watching(), [])
   large.advance(200)
@@ -84,7 +84,7 @@
   assert.deepEqual(hall.watching().sort(), hall.ranked.slice(4, 6).sort())
 })
 
-nodeTest.test('gateways that hear others seldom do not take their places', () => {
+nodeTest.test('gateways that hear others rarely do not replace them', () => {
   const hall = createHall(GATEWAYS)
   for (let step = 0; step < 60; step += 1) {
     hall.advance(100)
@@ -92,26 +92,26 @@
   }
 })
 
-nodeTest.test('a watcher that has lost the store is replaced, and goes on trying', () => {
+nodeTest.test('a watcher that has lost the store is replaced, and keeps trying', () => {
   const hall = createHall(GATEWAYS)
   hall.advance(2000)
   const [first = ''] = hall.ranked
-  hall.lost.add(first)
+  hall.withoutStore.add(first)
   hall.advance(100)
   assert.deepEqual(hall.watching().sort(), hall.ranked.slice(0, 3).sort())
-  hall.lost.delete(first)
+  hall.withoutStore.delete(first)
   hall.advance(100)
   assert.deepEqual(hall.watching().sort(), hall.ranked.slice(0, 2).sort())
 })
 
-nodeTest.test('when the store answers nobody of the hall, all try', () => {
+nodeTest.test('when the store answers no gateway of the hall, all keep trying', () => {
   const hall = createHall(GATEWAYS)
-  for (const node of hall.ranked) hall.lost.add(node)
+  for (const node of hall.ranked) hall.withoutStore.add(node)
   hall.advance(2000)
   assert.equal(hall.watching().length, GATEWAYS)
 })
 
-nodeTest.test('gateways that get no copy list by themselves, one after the other', () => {
+nodeTest.test('gateways that get no copy list the kind themselves, one by one', () => {
   const hall = createHall(GATEWAYS)
   hall.advance(400)
   assert.equal(hall.watching(false).length, 2)
@@ -125,14 +125,14 @@
   assert.equal(hall.watching(false).length, GATEWAYS)
 })
 
-nodeTest.test('the first of the ranking ask another hall first', () => {
+nodeTest.test('the first gateways of the ranking request from another hall first', () => {
   const hall = createHall(GATEWAYS)
   hall.advance(200)
   const waits = hall.ranked.map((node) => hall.duties.get(node)?.farGraceMs())
   assert.deepEqual(waits.slice(0, 7), [200, 400, 600, 800, 1000, 1200, 1200])
 })
 
-/** The duty of the first gateway of one of several halls, which hears the first gateways of the others. */
+/** Creates the duties of several halls with one gateway each, which hear each other. */
 function createHalls (count: number): { readonly watching: () => string[], readonly silence: (zone: string) => void, readonly advance: (milliseconds: number) => void } {
   let time = 0
   const zones = Array.from({ length: count }, (_, index) => `hall-${index}`)
@@ -144,7 +144,7 @@
     role: 'gateway',
     zone,
     peers: () => zones.filter((other) => other !== zone).map((other) => ({ heartbeat: describe(other), heardAt: heardAt.get(other) ?? 0 })),
-    isLive: (peer) => time - peer.heardAt <= LIVE_MS,
+    isLive: (peer) => time - peer.heardAt <= LIVENESS_TIMEOUT_MS,
     isStoreLost: () => false,
     now: () => time
   }))
@@ -158,7 +158,7 @@
   }
 }
 
-nodeTest.test('few halls watch what changes often, and one that is not heard for 3.5 s is replaced', () => {
+nodeTest.test('few halls watch a kind that changes often, and a hall that is silent for 3.5 s is replaced', () => {
   const halls = createHalls(5)
   halls.advance(1000)
   const first = halls.watching()
@@ -172,7 +172,7 @@
   assert.ok(first.slice(1).every((zone) => next.includes(zone)))
 })
 
-nodeTest.test('a hall that hears no other one watches by itself', () => {
+nodeTest.test('a hall that hears no other hall watches itself', () => {
   const halls = createHalls(5)
   halls.advance(1000)
   const others = ['hall-0', 'hall-1', 'hall-2', 'hall-3', 'hall-4'].filter((zone) => !halls.watching().includes(zone))
--- a/packages/daemon/src/describeStatus/index.ts
+++ b/packages/daemon/src/describeStatus/index.ts
@@ -1,4 +1,4 @@
-/** What a daemon reports to `switchridge status`. */
+/** The status report of a daemon for `switchridge status`. */
 import type * as types from '@switchridge/types'
 import type * as membership from '@switchridge/membership'
 import type * as rpc from '@switchridge/rpc'
@@ -6,7 +6,7 @@
 import type * as transfer from '@switchridge/transfer'
 import type * as createCommonParts from '../createCommonParts/index.js'
 
-/** A daemon's report. */
+/** The status report of a daemon. */
 export interface Status {
   readonly self: types.MemberFacts
   readonly members: readonly membership.Member[]
@@ -18,7 +18,7 @@
   readonly process: ProcessUse
 }
 
-/** What the process has used since it began. */
+/** Resource usage of the process since its start. */
 export interface ProcessUse {
   readonly cpuSeconds: number
   readonly residentBytes: number
@@ -30,19 +30,19 @@
 const BYTES_IN_KIBIBYTE = 1024
 
 /**
- * Describes a daemon.
+ * Collects the status of a daemon.
  *
- * @param parts - Its parts.
- * @param self - Its facts.
- * @param rest - What only its role has.
- * @returns The report, plain JSON.
+ * @param parts - The daemon's common parts.
+ * @param self - The daemon's own facts.
+ * @param roleFields - The fields that depend on the daemon's role.
+ * @returns The report, JSON-serializable.
  */
-export function describeStatus (parts: createCommonParts.CommonParts, self: types.MemberFacts, rest: Pick<Status, 'transfers' | 'load' | 'counts'>): Status {
+export function describeStatus (parts: createCommonParts.CommonParts, self: types.MemberFacts, roleFields: Pick<Status, 'transfers' | 'load' | 'counts'>): Status {
   const usage = process.resourceUsage()
   return {
     self,
     members: parts.view.members(),
-    ...rest,
+    ...roleFields,
     platformCalls: parts.platformCalls,
     traffic: parts.traffic,
     process: {
--- a/packages/daemon/src/followVersions/index.ts
+++ b/packages/daemon/src/followVersions/index.ts
@@ -1,73 +1,73 @@
-/** The versions that operators named for each model, and until when older ones may serve. */
+/** Tracks the versions that operators announced for each model, and until when older ones may serve. */
 import type * as clock from '@switchridge/clock'
 import type * as staging from '@switchridge/staging'
 
-/** A named version as peers tell each other, with the time since it was heard of. */
-export interface VersionNews {
+/** An announced version as peers exchange it, with the time since it was first heard of. */
+export interface VersionAnnouncement {
   readonly model: string
   readonly version: number
   readonly ageMs: number
 }
 
-/** The record of named versions. */
+/** The record of announced versions. */
 export interface VersionFollower {
   /**
-   * Notes a version that the store or a peer names now; `ageMs` is the time since somebody heard of it.
-   * Returns whether the version was not known.
+   * Records a version announced by the store or a peer; `ageMs` is the time since any daemon first heard of it.
+   * Returns whether the version was unknown.
    */
   readonly note: (id: staging.VersionId, ageMs: number) => boolean
-  /** All versions of a model, the oldest first. */
+  /** Returns all versions of a model, oldest first. */
   readonly named: (model: string) => readonly staging.NamedVersion[]
-  /** Monotonic time in milliseconds from which nothing may be sent to a version, since it would begin too late. */
+  /** Returns the monotonic time in milliseconds from which no call may be sent to a version, since it would begin after the bound. */
   readonly lastSendTo: (model: string, version: number) => number
-  /** The newest few versions, for peers. */
-  readonly news: () => readonly VersionNews[]
-  /** What was noted between the end of a suspension and its discovery was noted too early by the lost time. */
+  /** The newest few versions of each model, for peers. */
+  readonly news: () => readonly VersionAnnouncement[]
+  /** Corrects times recorded between the end of a suspension and its detection: the clock had not yet included the time lost. */
   readonly noteSuspension: (suspension: clock.Suspension) => void
 }
 
-/** Options of {@link createVersionFollower}. */
+/** Options of the record of announced versions. */
 export interface VersionFollowerOptions {
-  /** Milliseconds from the naming until nothing may begin on an older version. */
+  /** Time from the announcement of a version until no call may begin on an older one, in milliseconds. */
   readonly boundMs: number
-  /** Milliseconds before the bound from which nothing is sent to older versions, since it may wait at the engine. */
+  /** Calls are no longer sent to older versions this many milliseconds before the bound, since they may queue at the engine. */
   readonly marginMs: number
-  /** Milliseconds that a process has for versions that were named before it began. */
+  /** Bound in milliseconds for versions that were announced before this process started. */
   readonly startMs: number
-  /** Told when a version is new, or its bound comes sooner than was believed, by a second or more. */
+  /** Called when a version is new, or when its bound moves earlier by a second or more. */
   readonly onBound: (id: staging.VersionId, bound: VersionBound) => void
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
 }
 
-/** What is believed of a version. */
+/** The known age and bound of a version. */
 export interface VersionBound {
-  /** Milliseconds since somebody heard of it, as told now. */
+  /** Milliseconds since any daemon first heard of it, according to the latest report. */
   readonly ageMs: number
-  /** Milliseconds until nothing may begin on an older version. */
+  /** Milliseconds until no call may begin on an older version. */
   readonly leftMs: number
 }
 
-/** Bounds that peers tell differ by the time on the way; a second more has a cause of its own. */
-const SOONER_MS = 1000
-/** A model that was never named runs this version. */
+/** Bounds reported by peers vary by the transmission time; a difference of a second or more has another cause. */
+const EARLIER_BOUND_THRESHOLD_MS = 1000
+/** The version of a model for which none was announced. */
 const FIRST_VERSION = 1
-const NEWS_KEPT = 4
-const START_WINDOW_MS = 1000
+const MAXIMUM_ANNOUNCED_VERSIONS = 4
+const STARTUP_WINDOW_MS = 1000
 
 /**
- * Creates an empty record.
+ * Creates an empty record of versions.
  *
- * @param options - Bounds and clock.
+ * @param options - Bounds, callback and clock.
  * @returns The record.
  */
 export function createVersionFollower (options: VersionFollowerOptions): VersionFollower {
   const models = new Map<string, Map<number, staging.NamedVersion>>()
   const startedAt = options.now()
 
-  /** A process that has just begun can't know how long ago a version was named. */
-  function allowedMs (): number {
-    return options.now() - startedAt < START_WINDOW_MS ? Math.min(options.startMs, options.boundMs) : options.boundMs
+  /** Returns the bound for a version of age 0. Right after its start a process can't know how long ago the version was announced, so the shorter bound applies. */
+  function currentBoundMs (): number {
+    return options.now() - startedAt < STARTUP_WINDOW_MS ? Math.min(options.startMs, options.boundMs) : options.boundMs
   }
 
   function note (id: staging.VersionId, ageMs: number): boolean {
@@ -76,9 +76,9 @@
     const heardAt = options.now() - ageMs
     const known = versions.get(id.version)
     if (known !== undefined && known.heardAt <= heardAt) return false
-    const boundAt = Math.min(known?.boundAt ?? Infinity, ageMs > 0 ? heardAt + options.boundMs : heardAt + allowedMs())
+    const boundAt = Math.min(known?.boundAt ?? Infinity, ageMs > 0 ? heardAt + options.boundMs : heardAt + currentBoundMs())
     versions.set(id.version, { id, heardAt, boundAt })
-    if (boundAt < (known?.boundAt ?? Infinity) - SOONER_MS) options.onBound(id, { ageMs, leftMs: boundAt - options.now() })
+    if (boundAt < (known?.boundAt ?? Infinity) - EARLIER_BOUND_THRESHOLD_MS) options.onBound(id, { ageMs, leftMs: boundAt - options.now() })
     return known === undefined
   }
 
@@ -107,7 +107,7 @@
       }
       return earliest
     },
-    news: () => [...models.keys()].flatMap((model) => named(model).slice(-NEWS_KEPT)
+    news: () => [...models.keys()].flatMap((model) => named(model).slice(-MAXIMUM_ANNOUNCED_VERSIONS)
       .map(({ id, heardAt }) => ({ model: id.model, version: id.version, ageMs: Math.round(options.now() - heardAt) })))
   }
 }
--- a/packages/daemon/src/followVersions/test.ts
+++ b/packages/daemon/src/followVersions/test.ts
@@ -2,13 +2,13 @@
 import * as nodeTest from 'node:test'
 import * as followVersions from './index.js'
 
-function createAt (time: { now: number }): followVersions.VersionFollower {
+function createFollower (time: { now: number }): followVersions.VersionFollower {
   return followVersions.createVersionFollower({ boundMs: 8000, marginMs: 1000, startMs: 2800, onBound: () => {}, now: () => time.now })
 }
 
-nodeTest.test('an older version gets no call from the margin before the bound on', () => {
+nodeTest.test('an older version gets no calls once the margin before the bound begins', () => {
   const time = { now: 0 }
-  const versions = createAt(time)
+  const versions = createFollower(time)
   time.now = 10_000
   versions.note({ model: 'm', version: 2 }, 0)
   assert.equal(versions.lastSendTo('m', 1), 17_000)
@@ -16,9 +16,9 @@
   assert.equal(versions.lastSendTo('other', 1), Infinity)
 })
 
-nodeTest.test('the oldest age that anybody tells counts, and a starting process takes a short bound', () => {
+nodeTest.test('the highest reported age counts, and a starting process applies a short bound', () => {
   const time = { now: 0 }
-  const versions = createAt(time)
+  const versions = createFollower(time)
   time.now = 500
   versions.note({ model: 'm', version: 2 }, 0)
   assert.equal(versions.lastSendTo('m', 1), 2300)
@@ -29,6 +29,6 @@
   assert.equal(versions.lastSendTo('m', 2), 14_000)
 })
 
-nodeTest.test('a model that was never named has its first version', () => {
-  assert.deepEqual(createAt({ now: 0 }).named('m').map(({ id }) => id.version), [1])
+nodeTest.test('a model without an announced version runs its first one', () => {
+  assert.deepEqual(createFollower({ now: 0 }).named('m').map(({ id }) => id.version), [1])
 })
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,4 +1,4 @@
-/** The parts of the daemons, for those who embed them. */
+/** The parts of the daemons, exported for embedding. */
 export * from './createBackendCalls/index.js'
 export * from './createClaims/index.js'
 export * from './createCommonParts/index.js'
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The daemon: `switchridged --settings FILE`. */
+/** Command-line entry point of the daemon: `switchridged --settings FILE`. */
 import * as fs from 'node:fs'
 import * as types from '@switchridge/types'
 import * as settings from '@switchridge/settings'
@@ -10,10 +10,10 @@
 const EXIT_USAGE = 2
 const EXIT_SETTINGS = 3
 const EXIT_FORCED = 4
-/** Names the settings file where no argument does. */
+/** Environment variable with the path of the settings file, used when there are no arguments. */
 const SETTINGS_VARIABLE = 'SWITCHRIDGE_NODE_FILE'
 
-/** Loaded only where there are arguments: on the users' platform there are none, and a start shall read little. */
+/** Loads the argument parser only if there are arguments; on the users' platform there are none, and startup should read few files. */
 async function parseArguments (): Promise<string> {
   const { default: yargs } = await import('yargs')
   const options = await yargs(process.argv.slice(2))
@@ -45,7 +45,7 @@
   }
 }
 
-/** Ends the process when the settings are wrong, and says where. */
+/** Returns the parsed settings; if they are invalid, prints each problem with its location and exits. */
 function unwrap<Value> (parsed: types.Outcome<Value, types.InvalidInputError>, file: string): Value {
   if (parsed.ok) return parsed.value
   for (const problem of parsed.error.problems) process.stderr.write(`${file}: ${types.formatProblem(problem)}\n`)
@@ -57,13 +57,13 @@
 async function stop (role: startDaemon.RunningRole, drainSeconds: number): Promise<void> {
   if (isStopping) process.exit(EXIT_FORCED)
   isStopping = true
-  const limit = types.delay(drainSeconds * types.MILLISECONDS_IN_SECOND)
-  await Promise.race([role.drain(), limit])
+  const drainTimeout = types.delay(drainSeconds * types.MILLISECONDS_IN_SECOND)
+  await Promise.race([role.drain(), drainTimeout])
   role.stop()
   process.exit(0)
 }
 
-/** Each role is loaded only where it runs, so that a start reads little. */
+/** Loads only the modules of the role that runs, so that startup reads few files. */
 async function run (file: string): Promise<void> {
   const text = readFile(file)
   if (settings.isFleetSettings(text)) {
--- a/packages/daemon/src/openTextServer/index.ts
+++ b/packages/daemon/src/openTextServer/index.ts
@@ -1,28 +1,28 @@
-/** Answers short questions by path: readiness, metrics and status. */
+/** Serves short texts over HTTP by path, such as readiness, metrics and status. */
 import * as http from 'node:http'
 import type * as types from '@switchridge/types'
 
-/** An answer. */
+/** A response. */
 export interface TextAnswer {
   readonly status: number
   readonly type?: string
   readonly body?: string
 }
 
-/** An open server. */
+/** A running server. */
 export interface TextServer {
   readonly close: () => void
 }
 
-const IDLE_MS = 10_000
+const KEEP_ALIVE_TIMEOUT_MS = 10_000
 const NOT_FOUND = 404
 
 /**
- * Opens the server.
+ * Starts the server.
  *
- * @param address - Where it is asked.
- * @param paths - What is answered, by path.
- * @returns The open server.
+ * @param address - The address to listen on.
+ * @param paths - Handlers by path; other paths get status 404.
+ * @returns The running server.
  */
 export async function openTextServer (address: types.Address, paths: Readonly<Record<string, () => TextAnswer | Promise<TextAnswer>>>): Promise<TextServer> {
   async function answer (request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
@@ -32,7 +32,7 @@
     response.end(found.body)
   }
 
-  const server = http.createServer({ noDelay: true, keepAliveTimeout: IDLE_MS }, (request, response) => {
+  const server = http.createServer({ noDelay: true, keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS }, (request, response) => {
     response.on('error', () => {})
     answer(request, response).catch(() => { response.destroy() })
   })
--- a/packages/daemon/src/readCopyAnswer/index.ts
+++ b/packages/daemon/src/readCopyAnswer/index.ts
@@ -1,4 +1,4 @@
-/** Reads what another daemon answered to a request for a copy. */
+/** Parses another daemon's answer to a request for a copy. */
 import * as util from 'node:util'
 import * as zlib from 'node:zlib'
 import * as zod from 'zod'
@@ -7,7 +7,7 @@
 import * as types from '@switchridge/types'
 import type * as copyParts from '../_lib/copyParts.js'
 
-/** Ten times a configuration of thousands of routes; a larger answer could fill the memory. */
+/** Ten times the size of a configuration with thousands of routes; a larger answer could exhaust memory. */
 export const MAXIMUM_COPY_BYTES = 16 * types.BYTES_IN_MEBIBYTE
 
 const decompress = util.promisify<zlib.InputType, zlib.ZlibOptions, Buffer>(zlib.gunzip)
@@ -23,20 +23,20 @@
 })
 
 /**
- * Reads an answer.
+ * Decompresses, validates and checks an answer.
  *
  * @param bytes - Compressed JSON.
- * @param request - What was asked for.
- * @param part - The part that this daemon needs; another one is refused.
- * @returns The changes, or why they can't be taken.
+ * @param request - The request that was sent.
+ * @param part - The part that this daemon needs; any other part is rejected.
+ * @returns The changes, or the reason why they were rejected.
  */
 export async function readCopyAnswer (bytes: Buffer, request: spread.CopyRequest, part: copyParts.CopyPart): Promise<types.Outcome<store.CopyChanges, spread.InvalidCopyError>> {
   try {
     const text = (await decompress(bytes, { maxOutputLength: MAXIMUM_COPY_BYTES })).toString()
     const parsed = answerSchema.safeParse(JSON.parse(text))
     if (!parsed.success) return types.fail(new spread.InvalidCopyError(`unreadable at ${parsed.error.issues[0]?.path.join('.') ?? ''}`))
-    const { part: told, ...changes } = parsed.data
-    if (told !== part) return types.fail(new spread.InvalidCopyError(`part ${told}, not ${part}`))
+    const { part: receivedPart, ...changes } = parsed.data
+    if (receivedPart !== part) return types.fail(new spread.InvalidCopyError(`part ${receivedPart}, not ${part}`))
     if (changes.kind !== request.kind) return types.fail(new spread.InvalidCopyError(`a copy of ${changes.kind}`))
     return types.succeed(changes)
   } catch (thrown) {
--- a/packages/daemon/src/sendAttempt/index.ts
+++ b/packages/daemon/src/sendAttempt/index.ts
@@ -1,4 +1,4 @@
-/** Sends one attempt of a call to a backend daemon and finds out what became of it. */
+/** Sends one attempt of a call to a backend daemon and determines its outcome. */
 import * as crypto from 'node:crypto'
 import type * as http from 'node:http'
 import * as types from '@switchridge/types'
@@ -6,22 +6,22 @@
 import type * as routing from '@switchridge/routing'
 import * as callHeaders from '../_lib/callHeaders.js'
 
-/** A call as the entry node took it from its caller. */
+/** A call as the entry node received it from its caller. */
 export interface OutgoingCall {
   readonly service: types.ServiceName
   readonly row: string
   readonly account: types.AccountRow
   readonly method: string
-  /** Path and query towards the back end. */
+  /** Path and query for the back end. */
   readonly path: string
   readonly headers: Record<string, string | string[]>
   readonly body: Buffer
   readonly isRepeatable: boolean
-  /** Monotonic time in milliseconds. */
+  /** Deadline, as a monotonic time in milliseconds. */
   readonly deadlineAt: number
 }
 
-/** What became of an attempt. */
+/** Outcome of an attempt. */
 export type AttemptResult =
   | { readonly kind: 'answered', readonly response: http.IncomingMessage, readonly load: routing.StatedLoad | undefined }
   | { readonly kind: 'not-run', readonly reason: string, readonly load: routing.StatedLoad | undefined }
@@ -37,9 +37,9 @@
   readonly signal: AbortSignal
 }
 
-const TICKET_CALL_MS = 1000
-const TICKET_CALLS = 2
-const LATE_MS = 250
+const TICKET_CALL_TIMEOUT_MS = 1000
+const MAXIMUM_TICKET_CALLS = 2
+const RESPONSE_GRACE_MS = 250
 
 /**
  * Sends one attempt.
@@ -47,12 +47,12 @@
  * @param call - The call.
  * @param backend - The backend daemon.
  * @param options - Identity, connections and the caller's signal.
- * @returns The answer as a stream, or what is known of the attempt.
+ * @returns The answer as a stream, or the known outcome of the attempt.
  */
 export async function sendAttempt (call: OutgoingCall, backend: types.MemberFacts, options: AttemptOptions): Promise<AttemptResult> {
   const ticket = crypto.randomUUID()
   const remainingMs = Math.max(1, call.deadlineAt - options.now())
-  const stated = {
+  const callDescription = {
     service: call.service,
     row: call.row,
     account: call.account.id,
@@ -72,10 +72,10 @@
       'x-switchridge-node': options.self,
       [callHeaders.TICKET_HEADER]: ticket,
       [callHeaders.INCARNATION_HEADER]: backend.incarnation,
-      [callHeaders.CALL_HEADER]: JSON.stringify(stated)
+      [callHeaders.CALL_HEADER]: JSON.stringify(callDescription)
     },
     body: call.body,
-    timeoutMs: remainingMs + LATE_MS,
+    timeoutMs: remainingMs + RESPONSE_GRACE_MS,
     signal: options.signal
   })
   if (opened.ok) return readOutcome(opened.value)
@@ -92,13 +92,13 @@
   return { kind: outcome === 'not-run' ? 'not-run' : 'unknown', reason, load }
 }
 
-/** The body of a refusal says nothing that its headers do not. */
+/** Ignores errors in the body of a refusal; its headers already carry the outcome. */
 function ignoreLateError (): void {}
 
-/** Asks the daemon about the ticket; a ticket that it never saw is closed by the question. */
+/** Asks the backend daemon about the ticket; the request closes a ticket that the daemon has not seen. */
 async function resolveTicket (ticket: string, backend: types.MemberFacts, options: AttemptOptions, error: Error): Promise<AttemptResult> {
-  for (let call = 0; call < TICKET_CALLS; call += 1) {
-    const asked = await options.client.call<string>(backend.address, 'ticket', { ticket, incarnation: backend.incarnation }, TICKET_CALL_MS)
+  for (let call = 0; call < MAXIMUM_TICKET_CALLS; call += 1) {
+    const asked = await options.client.call<string>(backend.address, 'ticket', { ticket, incarnation: backend.incarnation }, TICKET_CALL_TIMEOUT_MS)
     if (!asked.ok) continue
     if (asked.value === 'not-run') return { kind: 'not-run', reason: 'connection-broke', load: undefined }
     return { kind: 'unknown', reason: `connection-broke-${asked.value}`, load: undefined }
