--- a/packages/daemon/src/createCommonParts/index.ts
+++ b/packages/daemon/src/createCommonParts/index.ts
@@ -1,38 +1,38 @@
-/** The parts that daemons of both roles have: identity, connections, view, table and logs. */
+/** Parts shared by the entry and backend roles: identity, connections, membership view, table, log and metrics. */
 import * as crypto from 'node:crypto'
 import * as fs from 'node:fs'
 import * as clock from '@switchridge/clock'
 import * as types from '@switchridge/types'
 import * as membership from '@switchridge/membership'
 import * as observability from '@switchridge/observability'
-import * as platform from '@switchridge/store'
+import * as store from '@switchridge/store'
 import * as routing from '@switchridge/routing'
 import * as rpc from '@switchridge/rpc'
 import type * as settings from '@switchridge/settings'
 import * as createSelfFacts from '../createSelfFacts/index.js'
 import * as createTableKeeper from '../createTableKeeper/index.js'
 
-/** Parts of both roles. */
+/** Parts shared by both roles. */
 export interface CommonParts {
   readonly settings: settings.Settings
   readonly identity: rpc.Identity
   readonly tls: rpc.TlsMaterial | undefined
   readonly agents: rpc.HttpAgents
   readonly client: rpc.RpcClient
-  /** Exchanges with other daemons, for the control budget. */
+  /** Counts exchanges with other daemons, to check the control traffic against its budget. */
   readonly traffic: rpc.Traffic
   readonly logger: observability.Logger
   readonly metrics: observability.Metrics
   readonly view: membership.MemberView
   readonly keeper: createTableKeeper.TableKeeper
   readonly loads: routing.BackendLoads
-  readonly store: platform.ObjectStore
-  /** Calls to the platform by operation, for the budget and the measurements. */
+  readonly store: store.ObjectStore
+  /** Number of calls to the platform by operation, for its call budget and for measurements. */
   readonly platformCalls: Record<string, number>
   readonly incarnation: types.IncarnationId
-  /** Steady clock in milliseconds; it counts suspensions of the machine. */
+  /** Steady clock in milliseconds, which includes the time in which the machine was suspended. */
   readonly now: () => number
-  /** Calls an action at a time of the clock. */
+  /** Runs an action at a time of the clock. */
   readonly at: clock.AtTime
   readonly random: () => number
 }
@@ -43,7 +43,7 @@
 /**
  * Creates the parts.
  *
- * @param checked - The settings.
+ * @param checked - The validated settings.
  * @returns The parts; nothing is opened or sent yet.
  */
 export function createCommonParts (checked: settings.Settings): CommonParts {
@@ -79,7 +79,7 @@
     view,
     keeper,
     loads: routing.createBackendLoads(),
-    store: platform.createObjectStore({
+    store: store.createObjectStore({
       url: checked.platform.url,
       timeoutMs: checked.platform.timeout_ms,
       ...(checked.platform.key === undefined ? {} : { key: checked.platform.key }),
@@ -94,7 +94,7 @@
   }
 }
 
-/** A later life of a node sorts higher, as long as the node's clock does not go back between them. */
+/** Creates the id of this process run. A later run of a node sorts higher, provided that the node's wall clock was not set back in between. */
 function createIncarnation (): types.IncarnationId {
   const time = String(Date.now()).padStart(TIME_DIGITS, '0')
   return types.brandId(`${time}-${crypto.randomBytes(RANDOM_BYTES).toString('hex')}`)
@@ -111,13 +111,13 @@
 }
 
 /**
- * Creates the first facts of a daemon.
+ * Creates the initial facts of a daemon.
  *
- * @param parts - Its parts.
- * @param address - Where other daemons reach it.
+ * @param parts - Its shared parts.
+ * @param address - Its address for other daemons.
  * @returns The facts.
  */
-export function createFirstFacts (parts: CommonParts, address: types.Address): createSelfFacts.SelfFacts {
+export function createInitialFacts (parts: CommonParts, address: types.Address): createSelfFacts.SelfFacts {
   const { settings: checked, incarnation, keeper } = parts
   const self = createSelfFacts.createSelfFacts({
     node: types.brandId<types.NodeId>(checked.node),
@@ -140,9 +140,9 @@
 }
 
 /**
- * Reads the entry nodes that the settings name.
+ * Reads the addresses of the entry nodes in the settings.
  *
- * @param checked - The settings.
+ * @param checked - The validated settings.
  * @returns Their addresses.
  */
 export function readSeeds (checked: settings.Settings): types.Address[] {
--- a/packages/daemon/src/createFleetExchange/facts.test.ts
+++ b/packages/daemon/src/createFleetExchange/facts.test.ts
@@ -1,16 +1,16 @@
-/** How soon all gateways know what one has found out, at the size of a large fleet, with its real exchange over narrow links. */
+/** How soon a fact reaches all gateways of a large fleet, with the real exchange over links of limited bandwidth. */
 import * as assert from 'node:assert/strict'
 import * as nodeTest from 'node:test'
 import * as standins from '@switchridge/standins'
 import * as simulatedFleet from '../_lib/simulatedFleet.js'
 
-/** 183 daemons: 98 gateways and 85 agents, nearly evenly over five halls. */
+/** Stands for a deployment of 183 daemons: 98 gateways and 85 agents, spread almost evenly over five halls. */
 const SHAPE = { halls: 5, gatewaysPerHall: 20, agentsPerHall: 17, regionBytesPerMs: 2500 }
 const SEED = 7
-/** Within this after trouble a daemon is bound by what others know. */
+/** Within this time after an outage a daemon must act on what others know. */
 const CONTACT_MS = 3000
 
-async function open (context: nodeTest.TestContext): Promise<simulatedFleet.SimulatedFleet> {
+async function openFleet (context: nodeTest.TestContext): Promise<simulatedFleet.SimulatedFleet> {
   context.mock.timers.enable({ apis: ['setTimeout', 'setInterval', 'Date'], now: 1_000_000 })
   const fleet = simulatedFleet.createSimulatedFleet(SHAPE, context.mock.timers, standins.createRandom(SEED))
   context.after(() => { for (const daemon of fleet.daemons) daemon.stop() })
@@ -20,20 +20,20 @@
   return fleet
 }
 
-function lacking (gateways: readonly simulatedFleet.SimulatedDaemon[], fact: string): number {
+function countUninformed (gateways: readonly simulatedFleet.SimulatedDaemon[], fact: string): number {
   return gateways.filter((gateway) => !gateway.heard.has(fact)).length
 }
 
-nodeTest.test('what a gateway of 183 daemons finds out all others know within a tenth of a second', async (context) => {
-  const fleet = await open(context)
+nodeTest.test('a fact of one gateway reaches all others of a fleet of 183 daemons within a tenth of a second', async (context) => {
+  const fleet = await openFleet(context)
   fleet.gateways[3]?.tell('fact')
-  const tookMs = await fleet.passUntil(() => lacking(fleet.gateways, 'fact') === 0, CONTACT_MS)
+  const tookMs = await fleet.passUntil(() => countUninformed(fleet.gateways, 'fact') === 0, CONTACT_MS)
   context.diagnostic(`${tookMs} ms`)
   assert.ok(tookMs <= 100, `known after ${tookMs} ms`)
 })
 
-nodeTest.test('a hall that was cut off knows what it found out itself, and the rest in time after the cut', async (context) => {
-  const fleet = await open(context)
+nodeTest.test('a hall that was cut off shares facts within itself, and gets the others in time after the cut', async (context) => {
+  const fleet = await openFleet(context)
   const inside = fleet.gateways.filter(({ host }) => host.startsWith('10.2.'))
   const outside = fleet.gateways.filter(({ host }) => !host.startsWith('10.2.'))
   fleet.network.cutRegion('region-2')
@@ -41,16 +41,16 @@
   inside[4]?.tell('inside')
   outside[4]?.tell('outside')
   await fleet.pass(1000)
-  assert.equal(lacking(inside, 'inside') + lacking(outside, 'outside'), 0)
+  assert.equal(countUninformed(inside, 'inside') + countUninformed(outside, 'outside'), 0)
   await fleet.pass(6000)
   fleet.network.joinRegion('region-2')
-  const tookMs = await fleet.passUntil(() => lacking(fleet.gateways, 'inside') + lacking(fleet.gateways, 'outside') === 0, 3 * CONTACT_MS)
+  const tookMs = await fleet.passUntil(() => countUninformed(fleet.gateways, 'inside') + countUninformed(fleet.gateways, 'outside') === 0, 3 * CONTACT_MS)
   context.diagnostic(`${tookMs} ms after the cut`)
   assert.ok(tookMs <= CONTACT_MS, `known after ${tookMs} ms`)
 })
 
-nodeTest.test('a gateway that starts again knows what others do in time', async (context) => {
-  const fleet = await open(context)
+nodeTest.test('a gateway that restarts gets the facts of the others in time', async (context) => {
+  const fleet = await openFleet(context)
   fleet.gateways[3]?.tell('fact')
   await fleet.pass(1000)
   const again = fleet.gateways[30] as simulatedFleet.SimulatedDaemon
--- a/packages/daemon/src/createFleetExchange/index.ts
+++ b/packages/daemon/src/createFleetExchange/index.ts
@@ -1,4 +1,4 @@
-/** How one daemon keeps up with its fleet: heartbeats, and copies of the store's objects from the store or from peers. */
+/** Keeps one daemon in sync with its fleet: exchanges heartbeats and facts, and copies the store's objects from the store or from peers. */
 import * as platform from '@switchridge/platform'
 import type * as settings from '@switchridge/settings'
 import * as spread from '@switchridge/spread'
@@ -11,15 +11,15 @@
 /** Options of {@link createFleetExchange}. */
 export interface FleetExchangeOptions {
   readonly parts: createFleetParts.FleetParts
-  /** Null on a daemon that takes everything from peers. */
+  /** Null on a daemon that copies everything from peers. */
   readonly store: store.CollectionStore | null
   readonly openDatagrams: spread.OpenDatagrams
   readonly fetchChanges: spread.CopySyncOptions['fetchChanges']
   readonly describeSelf: (isStoreLost: boolean) => spread.Heartbeat
   readonly onHeartbeat: spread.GossipOptions['onHeartbeat']
-  /** Takes facts that other gateways tell. */
+  /** Handles facts received from other gateways. */
   readonly onFact: spread.FactExchangeOptions['onFact']
-  /** Takes datagrams of another exchange; false for those that are none of it. */
+  /** Handles datagrams of other protocols; false for datagrams that it does not recognise. */
   readonly onDatagram: (bytes: Buffer, from: string) => boolean
   /** Random number from 0 to 1. */
   readonly random: () => number
@@ -28,15 +28,15 @@
 /** The exchange of one daemon. */
 export interface FleetExchange {
   readonly gossip: spread.Gossip
-  /** Facts that gateways tell each other. */
+  /** Facts that gateways share with each other. */
   readonly facts: spread.FactExchange
-  /** Sends a datagram of another exchange to the daemon on a host. */
+  /** Sends a datagram of another protocol to the daemon on a host. */
   readonly send: (host: string, bytes: Buffer) => void
-  /** Whether this daemon asks the store for others, too. */
+  /** Whether this daemon is one of those that query the store on behalf of others. */
   readonly mayAskStore: () => boolean
-  /** Whether the store answers, by kind; empty on a daemon that does not ask it. */
+  /** Whether the store is reachable, by kind of object; empty on a daemon that does not use it. */
   readonly storeState: () => ReadonlyArray<{ readonly kind: string, readonly isReachable: boolean }>
-  /** Whether the store did not answer the last call for some kind. */
+  /** Whether the last call to the store failed for at least one kind. */
   readonly isStoreLost: () => boolean
   readonly reload: (next: settings.FleetSettings) => void
   readonly stop: () => void
@@ -45,23 +45,23 @@
 /**
  * Starts the exchange.
  *
- * @param options - Parts of the daemon and its ways to others.
+ * @param options - Parts of the daemon, its connections to other daemons and callbacks.
  * @returns The exchange; it runs until it is stopped.
  */
 export async function createFleetExchange (options: FleetExchangeOptions): Promise<FleetExchange> {
   const { parts } = options
-  const kept = new Map<string, store.KeptMirror>()
-  /** Nobody is heard of until the socket is open. */
-  let opened: spread.Gossip | null = null
+  const keptMirrors = new Map<string, store.KeptMirror>()
+  /** Null until the socket is open; no peers are known before that. */
+  let openedGossip: spread.Gossip | null = null
   const { role, zone } = parts.settings
-  /** Mirrors that wait for their turn at the store; they look at it when the daemon is awake anyway. */
-  let waiting: Array<() => void> = []
-  const duty = createWatchDuty.createWatchDuty({
+  /** Wakes mirrors that may not watch the store yet; they check again at the gossip's next tick, so that they need no timers of their own. */
+  let pendingWakes: Array<() => void> = []
+  const watchDuty = createWatchDuty.createWatchDuty({
     node: types.brandId<types.NodeId>(parts.settings.node),
     role,
     zone,
-    peers: () => opened?.peers() ?? [],
-    isLive: (peer) => opened?.isLive(peer) ?? false,
+    peers: () => openedGossip?.peers() ?? [],
+    isLive: (peer) => openedGossip?.isLive(peer) ?? false,
     isStoreLost,
     now: parts.now
   })
@@ -69,12 +69,12 @@
     mirrors: parts.mirrors,
     zone,
     canServe: (peer, kind) => copyParts.holds(copyParts.partOf(kind, peer.role), copyParts.partOf(kind, role)),
-    isWatching: (kind) => kept.get(kind)?.isWatching() ?? false,
-    farGraceMs: duty.farGraceMs,
+    isWatching: (kind) => keptMirrors.get(kind)?.isWatching() ?? false,
+    farGraceMs: watchDuty.farGraceMs,
     fetchChanges: options.fetchChanges,
-    onAsked: (kind, isOwnHall) => { parts.metrics.count('copies_asked', { kind, hall: nameHall(isOwnHall) }) },
-    onAdopted: noteAdopted,
-    onConfirmed: (kind, isOwnHall) => { parts.metrics.count('copies_confirmed', { kind, hall: nameHall(isOwnHall) }) },
+    onAsked: (kind, isOwnHall) => { parts.metrics.count('copies_asked', { kind, hall: formatHallLabel(isOwnHall) }) },
+    onAdopted: recordAdoptedCopy,
+    onConfirmed: (kind, isOwnHall) => { parts.metrics.count('copies_confirmed', { kind, hall: formatHallLabel(isOwnHall) }) },
     onFailed: (kind, host, reason, isInvalid) => { parts.logger.warn(isInvalid ? 'copy-dropped' : 'copy-failed', { kind, host, reason }) },
     now: parts.now,
     random: options.random
@@ -83,7 +83,7 @@
   let socket: spread.DatagramSocket | null = null
   const facts = spread.createFactExchange({
     zone,
-    peers: () => (opened?.peers() ?? []).filter((peer) => peer.heartbeat.role === 'gateway' && opened?.isLive(peer) === true).map(({ heartbeat }) => heartbeat),
+    peers: () => (openedGossip?.peers() ?? []).filter((peer) => peer.heartbeat.role === 'gateway' && openedGossip?.isLive(peer) === true).map(({ heartbeat }) => heartbeat),
     send,
     onFact: options.onFact,
     onDrop: () => { parts.metrics.count('datagrams_dropped', { reason: 'bad-fact' }) },
@@ -96,7 +96,7 @@
     if (!isStopped) socket?.send(host, bytes)
   }
 
-  /** All exchanges share the socket. */
+  /** Heartbeats, facts and other protocols share one socket. */
   async function openDatagrams (onDatagram: (bytes: Buffer, from: string) => void): Promise<spread.DatagramSocket> {
     socket = await options.openDatagrams((bytes, from) => { if (!facts.receive(bytes, from) && !options.onDatagram(bytes, from)) onDatagram(bytes, from) })
     return socket
@@ -112,8 +112,8 @@
       options.onHeartbeat(heartbeat, delayMs, ageMs)
     },
     onTick: () => {
-      const due = waiting
-      waiting = []
+      const due = pendingWakes
+      pendingWakes = []
       for (const wake of due) wake()
       if (role === 'gateway') facts.tick()
     },
@@ -121,43 +121,43 @@
     clock: parts.clock,
     now: parts.now
   })
-  opened = gossip
-  parts.clock.onSuspension(() => { for (const mirror of kept.values()) mirror.restart() })
+  openedGossip = gossip
+  parts.clock.onSuspension(() => { for (const mirror of keptMirrors.values()) mirror.restart() })
 
-  function noteAdopted (kind: string, { host, changes, bytes, isOwnHall }: spread.AdoptedCopy): void {
-    parts.metrics.count('copies_bytes', { kind, hall: nameHall(isOwnHall) }, bytes)
+  function recordAdoptedCopy (kind: string, { host, changes, bytes, isOwnHall }: spread.AdoptedCopy): void {
+    parts.metrics.count('copies_bytes', { kind, hall: formatHallLabel(isOwnHall) }, bytes)
     parts.logger.info('adopted-from-peer', { kind, host, revision: changes.at, bytes, objects: changes.objects.length, isWhole: changes.since === 0 })
   }
 
   function isStoreLost (): boolean {
-    return [...kept.values()].some((mirror) => !mirror.isReachable())
+    return [...keptMirrors.values()].some((mirror) => !mirror.isReachable())
   }
 
-  function keep (mirror: store.Mirror, collections: store.CollectionStore): void {
-    kept.set(mirror.kind, store.keepMirror({
+  function keepMirror (mirror: store.Mirror, collections: store.CollectionStore): void {
+    keptMirrors.set(mirror.kind, store.keepMirror({
       mirror,
       store: collections,
-      waitMs: computeWatchMs(parts.settings),
+      waitMs: computeWatchTimeoutMs(parts.settings),
       random: options.random,
-      mayWatch: () => duty.mayWatch(mirror.isKnown(), kept.get(mirror.kind)?.isReachable() ?? true, mirror.kind === platform.KINDS.configuration ? 'each-hall' : 'few-halls'),
-      nextChance: async () => { await new Promise<void>((resolve) => { waiting.push(resolve) }) },
+      mayWatch: () => watchDuty.mayWatch(mirror.isKnown(), keptMirrors.get(mirror.kind)?.isReachable() ?? true, mirror.kind === platform.KINDS.configuration ? 'each-hall' : 'few-halls'),
+      nextChance: async () => { await new Promise<void>((resolve) => { pendingWakes.push(resolve) }) },
       onReachable: (isReachable, reason) => { parts.logger.warn(isReachable ? 'store-regained' : 'store-lost', { kind: mirror.kind, reason }) }
     }))
     mirror.onChange(() => { gossip.sendNow() })
   }
 
-  if (options.store !== null) for (const mirror of parts.mirrors) keep(mirror, options.store)
+  if (options.store !== null) for (const mirror of parts.mirrors) keepMirror(mirror, options.store)
   return {
     gossip,
     facts,
     send,
-    mayAskStore: () => options.store !== null && duty.mayWatch(true, !isStoreLost(), 'few-halls'),
-    storeState: () => [...kept.entries()].map(([kind, mirror]) => ({ kind, isReachable: mirror.isReachable() })),
+    mayAskStore: () => options.store !== null && watchDuty.mayWatch(true, !isStoreLost(), 'few-halls'),
+    storeState: () => [...keptMirrors.entries()].map(([kind, mirror]) => ({ kind, isReachable: mirror.isReachable() })),
     isStoreLost,
     reload: (next) => { gossip.addHosts(createFleetParts.readSeedHosts(next)) },
     stop: () => {
       isStopped = true
-      for (const mirror of kept.values()) mirror.stop()
+      for (const mirror of keptMirrors.values()) mirror.stop()
       sync.stop()
       gossip.stop()
     }
@@ -165,13 +165,13 @@
 }
 
 /**
- * How long a watch waits when nothing happens. A connection that has gone silent for good is found when the wait and the time for an answer are
- * over, and a change must then still be in force in time: it may take as long as a daemon has after trouble, and for the change itself.
+ * Computes how long a watch request stays open without events. A dead connection is detected only after this wait plus the response timeout, and a change must
+ * still take effect in time after that: within the bounds for regaining contact and for applying a configuration together.
  */
-function computeWatchMs ({ store: { watch_ms: set, timeout_ms: timeout }, bounds }: settings.FleetSettings): number {
-  return set ?? Math.max(timeout, bounds.contact_ms + bounds.configuration_ms - timeout)
+function computeWatchTimeoutMs ({ store: { watch_ms: configured, timeout_ms: timeout }, bounds }: settings.FleetSettings): number {
+  return configured ?? Math.max(timeout, bounds.contact_ms + bounds.configuration_ms - timeout)
 }
 
-function nameHall (isOwnHall: boolean): string {
+function formatHallLabel (isOwnHall: boolean): string {
   return isOwnHall ? 'own' : 'other'
 }
--- a/packages/daemon/src/createFleetParts/index.ts
+++ b/packages/daemon/src/createFleetParts/index.ts
@@ -1,4 +1,4 @@
-/** The parts that gateways and agents have: mirrors of the store, the exchange with other daemons, logs. */
+/** Parts shared by the gateway and agent roles: mirrors of the store's objects, connections, clock, log and metrics. */
 import Koa from 'koa'
 import * as clock from '@switchridge/clock'
 import * as gateway from '@switchridge/gateway'
@@ -16,7 +16,7 @@
 import * as readCopyAnswer from '../readCopyAnswer/index.js'
 import * as copyParts from '../_lib/copyParts.js'
 
-/** Parts of both roles. */
+/** Parts shared by both roles. */
 export interface FleetParts {
   readonly settings: settings.FleetSettings
   readonly logger: observability.Logger
@@ -27,42 +27,42 @@
   readonly routes: () => gateway.RouteTable | null
   readonly onRoutes: (listener: (table: gateway.RouteTable) => void) => void
   readonly backEnds: () => readonly gateway.BackEnd[]
-  /** The back end at an address of the form IP:PORT, the last one listed if there are several. */
+  /** The back end with an address of the form IP:PORT; the last one listed if there are several. */
   readonly backEndAt: (address: string) => gateway.BackEnd | undefined
-  /** The model that engines of a service run, where there is just one. */
+  /** The model that a service's engines run, or null unless there is exactly one. */
   readonly soleModelOf: (service: types.ServiceName) => string | null
   readonly areBackEndsKnown: () => boolean
   readonly onBackEnds: (listener: () => void) => void
   readonly versions: followVersions.VersionFollower
   readonly areVersionsKnown: () => boolean
   readonly onVersions: (listener: () => void) => void
-  /** Copies of the kinds that the role needs; an agent needs no list of back ends, and of the configuration only a part. */
+  /** Mirrors of the kinds that the role needs: an agent needs no list of back ends, and only part of the configuration. */
   readonly mirrors: readonly store.Mirror[]
   readonly clock: clock.SteadyClock
-  /** The clock's time. */
+  /** The time of {@link clock}, in milliseconds. */
   readonly now: () => number
-  /** Calls an action at a time of the clock. */
+  /** Runs an action at a time of {@link clock}. */
   readonly at: clock.AtTime
 }
 
-/** Milliseconds before a version's bound from which nothing is sent to older ones. */
+/** Calls are no longer sent to older versions from this long before the deadline of a version change. */
 const VERSION_MARGIN_MS = 1700
-/** A gateway is not bound by what happened before it for so long after its start. */
-const START_MS = 2800
-/** A peer that sends no byte of a copy for so long is given up; links between regions answer within a tenth of it. */
-const COPY_QUIET_MS = 1000
-/** No copy takes longer, however slowly it keeps arriving. */
-const COPY_MAXIMUM_MS = 30_000
+/** A gateway that starts must follow earlier version changes within this time, shorter than the usual bound, since it can't know how long ago they were made. */
+const STARTUP_GRACE_MS = 2800
+/** A copy is aborted when the peer sends no byte for this long; a round trip between regions takes less than a tenth of it. */
+const COPY_IDLE_TIMEOUT_MS = 1000
+/** Total timeout of a copy, even if bytes keep arriving. */
+const COPY_TIMEOUT_MS = 30_000
 const OK = 200
 
-/** What the parts take from their surroundings. */
-export interface PartsSurroundings {
+/** Clocks and log output that the parts use; replaceable in tests. */
+export interface PartsEnvironment {
   readonly clocks: clock.MachineClocks
-  /** Takes a line of the log. */
+  /** Writes a line of the log. */
   readonly writeLine: (line: string) => void
 }
 
-const PROCESS_SURROUNDINGS: PartsSurroundings = {
+const PROCESS_ENVIRONMENT: PartsEnvironment = {
   clocks: clock.PROCESS_CLOCKS,
   writeLine: (line) => { process.stdout.write(line + '\n') }
 }
@@ -70,30 +70,30 @@
 /**
  * Creates the parts; nothing is opened or sent yet.
  *
- * @param checked - The settings.
- * @param surroundings - Clock and log; those of the process when absent.
+ * @param checked - The validated settings.
+ * @param environment - Clocks and log output; those of the process by default.
  * @returns The parts.
  */
-export function createFleetParts (checked: settings.FleetSettings, surroundings = PROCESS_SURROUNDINGS): FleetParts {
+export function createFleetParts (checked: settings.FleetSettings, environment = PROCESS_ENVIRONMENT): FleetParts {
   const metrics = observability.createTextMetrics({ node: checked.node, zone: checked.zone, role: checked.role })
-  const logger = observability.createLogger('daemon', { node: checked.node, zone: checked.zone }, { level: checked.logs.level, write: surroundings.writeLine })
+  const logger = observability.createLogger('daemon', { node: checked.node, zone: checked.zone }, { level: checked.logs.level, write: environment.writeLine })
   const agents = rpc.createHttpAgents()
   const identity = { deployment: checked.deployment, sharedKey: checked.security.shared_key ?? '' }
-  const steadyClock = clock.createSteadyClock(surroundings.clocks)
+  const steadyClock = clock.createSteadyClock(environment.clocks)
   const { now } = steadyClock
   const configurations = store.createMirror(platform.KINDS.configuration)
-  const servers = store.createMirror(platform.KINDS.backEnds)
-  const named = store.createMirror(platform.KINDS.versions)
-  const versions = followVersions.createVersionFollower({ boundMs: checked.bounds.version_ms, marginMs: VERSION_MARGIN_MS, startMs: checked.role === 'agent' ? checked.bounds.version_ms : START_MS, onBound: noteBound, now })
+  const backEndObjects = store.createMirror(platform.KINDS.backEnds)
+  const namedVersions = store.createMirror(platform.KINDS.versions)
+  const versions = followVersions.createVersionFollower({ boundMs: checked.bounds.version_ms, marginMs: VERSION_MARGIN_MS, startMs: checked.role === 'agent' ? checked.bounds.version_ms : STARTUP_GRACE_MS, onBound: logBound, now })
   const routeListeners: Array<(table: gateway.RouteTable) => void> = []
   let routes: gateway.RouteTable | null = null
-  const notedFigures = new Map<types.ServiceName, string>()
+  const loggedFigures = new Map<types.ServiceName, string>()
   let adoptedRevision = 0
   const backEnds = createBackEndList.createBackEndList({
     layersOf: (service) => routes?.findService(service)?.engine?.layers ?? 1,
-    onUnreadable: (object, error) => { noteUnreadable(servers.kind, object, error) }
+    onUnreadable: (object, error) => { reportUnreadable(backEndObjects.kind, object, error) }
   })
-  const parsedVersions = new WeakSet<store.StoredObject>()
+  const seenVersionObjects = new WeakSet<store.StoredObject>()
 
   function adoptConfiguration (): void {
     const object = configurations.objects().get(platform.CONFIGURATION_NAME)
@@ -106,21 +106,21 @@
     adoptedRevision = object.revision
     routes = gateway.createRouteTable(parsed.value)
     logger.info('configuration', { revision: object.revision, version: parsed.value.version, routes: parsed.value.routes.length })
-    for (const service of parsed.value.services) noteFigures(service)
-    backEnds.adopt(servers.objects())
+    for (const service of parsed.value.services) logFigures(service)
+    backEnds.adopt(backEndObjects.objects())
     for (const listener of routeListeners) listener(routes)
   }
 
-  function noteBound ({ model, version }: staging.VersionId, { ageMs, leftMs }: followVersions.VersionBound): void {
+  function logBound ({ model, version }: staging.VersionId, { ageMs, leftMs }: followVersions.VersionBound): void {
     logger.info('version-bound', { model, version, ageMs: Math.round(ageMs), leftMs: Math.round(leftMs) })
   }
 
-  /** Says which figures decisions work with, when they are new, and which are not told. */
-  function noteFigures ({ name, engine }: gateway.Service): void {
+  /** Logs the engine figures that decisions use when they have changed, and which of them are missing. */
+  function logFigures ({ name, engine }: gateway.Service): void {
     if (engine === null) return
     const figures = JSON.stringify(engine)
-    if (notedFigures.get(name) === figures) return
-    notedFigures.set(name, figures)
+    if (loggedFigures.get(name) === figures) return
+    loggedFigures.set(name, figures)
     logger.info('engine-figures', {
       service: name,
       slots: engine.slots,
@@ -139,16 +139,16 @@
   }
 
   function adoptVersions (): void {
-    for (const object of named.objects().values()) {
+    for (const object of namedVersions.objects().values()) {
       const version = platform.parseNamedVersion(object)
       if (version.ok) versions.note(version.value, 0)
-      else if (!parsedVersions.has(object)) noteUnreadable(named.kind, object, version.error)
-      parsedVersions.add(object)
+      else if (!seenVersionObjects.has(object)) reportUnreadable(namedVersions.kind, object, version.error)
+      seenVersionObjects.add(object)
     }
   }
 
-  /** An object of another writer costs no other one. */
-  function noteUnreadable (kind: string, { name, revision }: store.StoredObject, { message }: types.InvalidInputError): void {
+  /** An unreadable object is counted and logged; the other objects stay in use. */
+  function reportUnreadable (kind: string, { name, revision }: store.StoredObject, { message }: types.InvalidInputError): void {
     metrics.count('objects_unreadable', { kind })
     logger.warn('object-unreadable', { kind, name, revision, error: message })
   }
@@ -159,8 +159,8 @@
     versions.noteSuspension(suspension)
   })
   configurations.onChange(adoptConfiguration)
-  servers.onChange(() => { backEnds.adopt(servers.objects()) })
-  named.onChange(adoptVersions)
+  backEndObjects.onChange(() => { backEnds.adopt(backEndObjects.objects()) })
+  namedVersions.onChange(adoptVersions)
   return {
     settings: checked,
     logger,
@@ -175,25 +175,25 @@
       return models.length === 1 ? models[0] as string : null
     },
     backEndAt: backEnds.at,
-    areBackEndsKnown: servers.isKnown,
-    onBackEnds: (listener) => { servers.onChange(listener) },
+    areBackEndsKnown: backEndObjects.isKnown,
+    onBackEnds: (listener) => { backEndObjects.onChange(listener) },
     versions,
-    areVersionsKnown: named.isKnown,
-    onVersions: (listener) => { named.onChange(listener) },
-    mirrors: checked.role === 'gateway' ? [configurations, servers, named] : [configurations, named],
+    areVersionsKnown: namedVersions.isKnown,
+    onVersions: (listener) => { namedVersions.onChange(listener) },
+    mirrors: checked.role === 'gateway' ? [configurations, backEndObjects, namedVersions] : [configurations, namedVersions],
     clock: steadyClock,
     now,
     at: clock.createDeadlines(steadyClock)
   }
 }
 
-/** What a daemon tells of itself beyond its parts. */
+/** State that a daemon reports in its heartbeats beside what its parts provide. */
 export interface SelfState {
   readonly isLeaving: boolean
   readonly isStoreLost: boolean
 }
 
-/** Describes this daemon on its heartbeats. */
+/** Creates this daemon's heartbeat. */
 export function describeSelf (parts: FleetParts, { isLeaving, isStoreLost }: SelfState, engine: unknown = null, suspects: readonly string[] = []): spread.Heartbeat {
   return {
     node: types.brandId<types.NodeId>(parts.settings.node),
@@ -214,17 +214,17 @@
   return checked.seeds.map((seed) => platform.parseAddress(seed).host)
 }
 
-/** Asks peers what changed in their copies of a kind. */
+/** Creates the function that requests changes of a kind from a peer. */
 export function fetchChanges (parts: FleetParts): spread.CopySyncOptions['fetchChanges'] {
   return async (host, request, signal) => {
     const part = copyParts.partOf(request.kind, parts.settings.role)
     const sent = await rpc.sendRequest(parts.agents, {
-      base: rpc.formatBaseUrl(parts.agents, internalAddress(parts, host)),
+      base: rpc.formatBaseUrl(parts.agents, getInternalAddress(parts, host)),
       path: copyParts.formatCopyPath(request.kind, part, request.since),
       method: 'GET',
       headers: rpc.createIdentityHeaders(parts.identity),
-      quietMs: COPY_QUIET_MS,
-      timeoutMs: COPY_MAXIMUM_MS,
+      quietMs: COPY_IDLE_TIMEOUT_MS,
+      timeoutMs: COPY_TIMEOUT_MS,
       signal
     }, readCopyAnswer.MAXIMUM_COPY_BYTES)
     if (!sent.ok) return sent
@@ -234,23 +234,23 @@
   }
 }
 
-/** Where daemons reach the daemon on a host. */
-export function internalAddress (parts: FleetParts, host: string): types.Address {
+/** Address for requests from other daemons to the daemon on a host. */
+export function getInternalAddress (parts: FleetParts, host: string): types.Address {
   return { host, port: parts.settings.internal_port }
 }
 
-/** Notes what a peer's heartbeat tells of versions; returns whether one was not known. */
+/** Records the versions that a peer's heartbeat reports; returns whether any of them was new. */
 export function noteVersions (parts: FleetParts, heartbeat: spread.Heartbeat): boolean {
   let isNew = false
   for (const { model, version, ageMs } of heartbeat.versions) isNew = parts.versions.note({ model, version }, ageMs) || isNew
   return isNew
 }
 
-/** Opens the server that other daemons ask. */
+/** Opens the server for requests from other daemons. */
 export async function listenInternal (parts: FleetParts, middleware: readonly Koa.Middleware[]): Promise<rpc.HttpListener> {
   const app = new Koa()
   app.on('error', () => {})
-  for (const each of middleware) app.use(each)
+  for (const handler of middleware) app.use(handler)
   app.use(createCopyAnswers.createCopyAnswers({ mirrors: parts.mirrors, role: parts.settings.role, identity: parts.identity }).middleware)
   return await rpc.listenHttp(app.callback(), { host: parts.settings.host, port: parts.settings.internal_port })
 }
--- a/packages/daemon/src/createSelfFacts/index.ts
+++ b/packages/daemon/src/createSelfFacts/index.ts
@@ -1,26 +1,26 @@
-/** The facts that a daemon states about itself. */
+/** The facts that a daemon publishes about itself. */
 import * as types from '@switchridge/types'
 
 /** Facts that change while the daemon runs. */
-export type ChangingFacts = Pick<types.MemberFacts, 'state' | 'serving' | 'holding' | 'waitingFor' | 'revision'>
+export type MutableFacts = Pick<types.MemberFacts, 'state' | 'serving' | 'holding' | 'waitingFor' | 'revision'>
 
 /** The facts of this daemon. */
 export interface SelfFacts {
   readonly read: () => types.MemberFacts
-  /** Changes facts; their version rises only if something differs. */
-  readonly update: (change: Partial<ChangingFacts>) => void
+  /** Changes facts; their version is incremented only if something differs. */
+  readonly update: (change: Partial<MutableFacts>) => void
   readonly onChange: (listener: () => void) => void
 }
 
 /**
  * Creates the facts of a daemon.
  *
- * @param first - The facts at the start.
+ * @param initial - The facts at the start.
  * @returns The facts.
  */
-export function createSelfFacts (first: types.MemberFacts): SelfFacts {
+export function createSelfFacts (initial: types.MemberFacts): SelfFacts {
   const listeners: Array<() => void> = []
-  let facts = first
+  let facts = initial
   return {
     read: () => facts,
     update: (change) => {
--- a/packages/daemon/src/createServing/index.ts
+++ b/packages/daemon/src/createServing/index.ts
@@ -1,28 +1,28 @@
-/** The versions that the engine beside this daemon may serve, and the calls that hold each of them. */
+/** Tracks the versions that the engine on this host may serve, and counts the calls that use each of them. */
 import type * as types from '@switchridge/types'
 
-/** A call's hold on a version; the version stays loaded until it is released. */
+/** A call's reference to a version, which stays loaded until all its pins are released. */
 export interface Pin {
   readonly served: types.ServedVersion
   readonly release: () => void
 }
 
-/** What the backend server serves. */
+/** The versions that the backend server serves, by row of the table. */
 export interface Serving {
   readonly set: (served: types.ServedVersion) => void
   readonly remove: (row: types.RowId) => void
   readonly find: (row: types.RowId) => types.ServedVersion | undefined
   readonly list: () => readonly types.ServedVersion[]
-  /** Holds the version that the row serves now; undefined when it serves none. */
+  /** Pins the version that the row serves now; undefined when it serves none. */
   readonly pin: (row: types.RowId) => Pin | undefined
-  /** Resolves when no call holds the version. */
+  /** Resolves when no call has a pin on the version. */
   readonly drained: (manifest: types.Digest) => Promise<void>
 }
 
 /**
- * Creates the record of a backend server that serves nothing yet.
+ * Creates the state of a backend server that serves nothing yet.
  *
- * @returns The record.
+ * @returns The state.
  */
 export function createServing (): Serving {
   const rows = new Map<types.RowId, types.ServedVersion>()
--- a/packages/daemon/src/createWeightsListener/index.ts
+++ b/packages/daemon/src/createWeightsListener/index.ts
@@ -1,4 +1,4 @@
-/** Hands complete versions to the engine on the same node, under addresses that only an order names. */
+/** Serves complete versions to the engine on the same node, each under a random URL that only the engine's load order contains. */
 import * as crypto from 'node:crypto'
 import * as stream from 'node:stream'
 import Koa from 'koa'
@@ -7,7 +7,7 @@
 
 /** The listener. */
 export interface WeightsListener {
-  /** Makes an address at which the engine reads the version, and a function that withdraws it. */
+  /** Creates a URL from which the engine reads the version, and a function that revokes it. */
   readonly offer: (holding: transfer.Holding) => { readonly url: string, readonly withdraw: () => void }
   readonly close: () => void
 }
@@ -45,7 +45,7 @@
 function * readChunks (holding: transfer.Holding): Generator<Buffer> {
   for (let chunk = 0; chunk < holding.manifest.chunks.length; chunk += 1) {
     const bytes = holding.get(chunk)
-    if (bytes === undefined) throw new Error(`chunk ${chunk} was dropped while it was read`)
+    if (bytes === undefined) throw new Error(`chunk ${chunk} was evicted from the store while the engine read the version`)
     yield bytes
   }
 }
--- a/packages/daemon/src/startAgentRole/index.ts
+++ b/packages/daemon/src/startAgentRole/index.ts
@@ -1,4 +1,4 @@
-/** An agent: brings the engine beside it to the versions that are named, and tells gateways how loaded it is. */
+/** The agent role: loads the requested weight versions into the engine on the same host, and reports the engine's load to gateways. */
 import * as nodeStream from 'node:stream'
 import type Koa from 'koa'
 import * as gateway from '@switchridge/gateway'
@@ -16,62 +16,64 @@
 import * as openMetrics from '../_lib/openMetrics.js'
 import type * as fleetRole from '../_lib/fleetRole.js'
 
-/** A peer that failed or was slow is left out for so long. */
-const SUSPECT_MS = 6000
-/** After a start, agents of all zones are heard of within this, also in a fleet of hundreds. */
-const ZONES_KNOWN_MS = 3500
-/** Before the configuration tells which weights the engine runs. */
+/** How long a peer that failed or was slow is excluded from fetches. */
+const SUSPECT_TIMEOUT_MS = 6000
+/** Agents of all zones are discovered within this time after a start, even in a fleet of hundreds of nodes; until then every configured zone is expected to have agents. */
+const ZONE_DISCOVERY_MS = 3500
+/** Interval of engine reports until the configuration says which weights the engine runs; from then on the stager requests them. */
 const REPORT_INTERVAL_MS = 350
-/** Part of the link that pieces may take while the engine serves nobody; the rest is for heartbeats and the heads of pieces. */
-const IDLE_LINK_PART = 0.9
-/** Part of the link that pieces may take while streams share it: with more, calls during a change of version wait behind pieces and come late. */
-const SERVING_LINK_PART = 0.75
-const BITS_IN_BYTE = 8
-const BITS_IN_MEGABIT = 1_000_000
-/** A fetch takes so much longer than its bytes, since the origin sends them one after the other. */
+/** Share of the link's bandwidth for pieces while the engine serves no model; the rest is left for heartbeats and the response headers of pieces. */
+const IDLE_LINK_SHARE = 0.9
+/** Share of the link's bandwidth for pieces while response streams use it too: with a larger one, calls during a version change queue behind pieces and are late. */
+const SERVING_LINK_SHARE = 0.75
+const BITS_PER_BYTE = 8
+const BITS_PER_MEGABIT = 1_000_000
+/** Added to the transfer time computed from a version's size, since the origin sends its pieces one after the other. */
 const RAMP_UP_MS = 500
-/** An answer of a peer is given up when so long no byte of it comes: a piece waits at most {@link staging.PIECE_WAIT_MS} + 400 ms there, and in the links' queues. */
-const PIECE_SILENCE_MS = 2500
+/** A peer's response is aborted after this long without a byte. The peer holds a request for at most {@link staging.PIECE_WAIT_MS} + 400 ms; the rest covers queueing on the links. */
+const PIECE_IDLE_TIMEOUT_MS = 2500
 const PIECES_PATH = '/pieces/'
 const MANIFESTS_PATH = '/manifests/'
-/** Tells which of the wanted pieces was sent. */
+/** Response header with the index of the piece that was sent, out of those requested. */
 const PIECE_HEADER = 'x-switchridge-piece'
-/** Names who asks for a piece, tells that it may be told of another holder, and names that holder. */
+/** Request header with the node that requests a piece. */
 const NODE_HEADER = 'x-switchridge-node'
-const REFER_HEADER = 'x-switchridge-may-refer'
+/** Request header: the response may refer to another node that holds the piece instead of sending it. */
+const MAY_REFER_HEADER = 'x-switchridge-may-refer'
+/** Response header with the node to request the piece from. */
 const HOLDER_HEADER = 'x-switchridge-holder'
 const OK = 200
 
 /**
  * Starts the agent role.
  *
- * @param checked - The settings.
+ * @param checked - The validated settings.
  * @returns The running role.
  */
 export async function startAgentRole (checked: settings.FleetSettings): Promise<fleetRole.FleetRole> {
   const parts = createFleetParts.createFleetParts(checked)
   const { logger, metrics, now } = parts
   const startedAt = now()
-  const self: staging.StagingPeer = { node: types.brandId(checked.node), zone: checked.zone, address: createFleetParts.internalAddress(parts, checked.host) }
+  const self: staging.StagingPeer = { node: types.brandId(checked.node), zone: checked.zone, address: createFleetParts.getInternalAddress(parts, checked.host) }
   const engineAddress = checked.engine.address as string
-  const engine = platform.createEngineControl(platform.parseAddress(engineAddress), parts.agents, noteUnreadable)
-  const linkBytes = checked.limits.link_megabits_per_second * BITS_IN_MEGABIT / BITS_IN_BYTE
-  const uplink = staging.createPieceUplink(linkBytes, () => (isServing() ? SERVING_LINK_PART : IDLE_LINK_PART) * (stager?.readLinkPart() ?? 1), now)
+  const engine = platform.createEngineControl(platform.parseAddress(engineAddress), parts.agents, logUnreadableReport)
+  const linkBytesPerSecond = checked.limits.link_megabits_per_second * BITS_PER_MEGABIT / BITS_PER_BYTE
+  const uplink = staging.createPieceUplink(linkBytesPerSecond, () => (isServing() ? SERVING_LINK_SHARE : IDLE_LINK_SHARE) * (stager?.readLinkPart() ?? 1), now)
   let report: gateway.EngineReport | null = null
   let isPaused = false
   let changesInMs: number | null = null
   let isLeaving = false
-  let unreadable = ''
+  let lastUnreadable = ''
   let stager: staging.Stager | null = null
   const suspectUntil = new Map<types.NodeId, number>()
 
-  const listener = await createFleetParts.listenInternal(parts, [sendWeights])
-  let opened: createFleetExchange.FleetExchange | null = null
-  const permits = createAgentPermits.createAgentPermits(parts, () => opened)
+  const listener = await createFleetParts.listenInternal(parts, [serveWeights])
+  let startedExchange: createFleetExchange.FleetExchange | null = null
+  const permits = createAgentPermits.createAgentPermits(parts, () => startedExchange)
   const slots = gateway.createSlotReservations(now)
   const reservations = gateway.createReservationServer({
     reserve: reserveSlot,
-    send: (host, bytes) => { opened?.send(host, bytes) },
+    send: (host, bytes) => { startedExchange?.send(host, bytes) },
     count: metrics.count
   })
   const exchange = await createFleetExchange.createFleetExchange({
@@ -85,14 +87,14 @@
     onDatagram: (bytes, from) => permits.receive(bytes, from) || reservations.receive(bytes, from),
     random: Math.random
   })
-  opened = exchange
+  startedExchange = exchange
   const { gossip } = exchange
 
-  /** Says once why reports are refused; how often is counted. */
-  function noteUnreadable ({ message }: types.InvalidInputError): void {
+  /** Counts every report that can't be parsed, and logs an error only when it differs from the previous one. */
+  function logUnreadableReport ({ message }: types.InvalidInputError): void {
     metrics.count('engine_reports_unreadable')
-    if (message === unreadable) return
-    unreadable = message
+    if (message === lastUnreadable) return
+    lastUnreadable = message
     logger.error('engine-report-unreadable', { address: engineAddress, error: message })
   }
 
@@ -121,7 +123,7 @@
 
   async function readReport (): Promise<gateway.EngineReport | null> {
     const next = await engine.readReport(findFigures()?.layers ?? 1)
-    if (isEarlierLife(next, report)) return report
+    if (isFromEarlierProcess(next, report)) return report
     const hadReport = report !== null
     report = next
     slots.noteReport(next)
@@ -129,13 +131,13 @@
     return next
   }
 
-  /** Answers on two connections may overtake each other. */
-  function isEarlierLife (next: gateway.EngineReport | null, known: gateway.EngineReport | null): boolean {
+  /** Responses on two connections may arrive out of order, so a report may come from an earlier engine process than the current one. */
+  function isFromEarlierProcess (next: gateway.EngineReport | null, known: gateway.EngineReport | null): boolean {
     return (next?.bornAt ?? Infinity) < (known?.bornAt ?? -Infinity)
   }
 
   function startStager (figures: gateway.EngineFigures, model: string): staging.Stager {
-    const wholeBytes = figures.chunks * figures.chunkBytes
+    const versionBytes = figures.chunks * figures.chunkBytes
     return staging.createStager({
       self,
       model,
@@ -146,24 +148,24 @@
       },
       engine,
       origin: platform.createWeightOrigin(findOrigin, parts.agents, (bytes) => { metrics.count('origin_bytes', {}, bytes) }),
-      agents: listAgents,
-      expectedZones: () => now() - startedAt < ZONES_KNOWN_MS ? checked.zones : [],
+      agents: listDependableAgents,
+      expectedZones: () => now() - startedAt < ZONE_DISCOVERY_MS ? checked.zones : [],
       fetchFromPeer: async (peer, id, wanted, mayRefer, { onHead, onBytes }) => {
-        const headers = { [NODE_HEADER]: self.node, ...(mayRefer ? { [REFER_HEADER]: '1' } : {}) }
-        const fetched = await fetch(peer, `${PIECES_PATH}${encodeURIComponent(id.model)}/${id.version}/${wanted.join()}`, headers, { onHead, onBytes })
+        const headers = { [NODE_HEADER]: self.node, ...(mayRefer ? { [MAY_REFER_HEADER]: '1' } : {}) }
+        const fetched = await requestFromAgent(peer, `${PIECES_PATH}${encodeURIComponent(id.model)}/${id.version}/${wanted.join()}`, headers, { onHead, onBytes })
         if (!fetched.ok || fetched.value === null) return fetched.ok ? types.succeed(null) : fetched
         const piece = Number(fetched.value.headers[PIECE_HEADER])
         const holder = fetched.value.headers[HOLDER_HEADER]
         return types.succeed(typeof holder === 'string' ? { piece, holder: types.brandId(holder) } : { piece, bytes: fetched.value.body })
       },
       fetchManifest: async (peer, id) => {
-        const fetched = await fetch(peer, `${MANIFESTS_PATH}${encodeURIComponent(id.model)}/${id.version}`)
+        const fetched = await requestFromAgent(peer, `${MANIFESTS_PATH}${encodeURIComponent(id.model)}/${id.version}`)
         if (!fetched.ok || fetched.value === null) return fetched.ok ? types.succeed(null) : fetched
         return types.succeed(fetched.value.body.toString().split(',').map((digest) => types.brandId<types.Digest>(digest)))
       },
       onSuspect: (node) => {
         const isNew = !suspectUntil.has(node)
-        suspectUntil.set(node, now() + SUSPECT_MS)
+        suspectUntil.set(node, now() + SUSPECT_TIMEOUT_MS)
         if (!isNew) return
         gossip.sendNow('agent')
         if (node === self.node) logger.warn('link-narrow', { part: stager?.readLinkPart().toFixed(2) ?? '' })
@@ -179,8 +181,8 @@
       },
       uplink,
       pieceBytes: figures.chunkBytes,
-      linkBytesPerSecond: linkBytes,
-      wholeMs: wholeBytes * types.MILLISECONDS_IN_SECOND / (linkBytes * SERVING_LINK_PART) + RAMP_UP_MS,
+      linkBytesPerSecond,
+      wholeMs: versionBytes * types.MILLISECONDS_IN_SECOND / (linkBytesPerSecond * SERVING_LINK_SHARE) + RAMP_UP_MS,
       now,
       random: Math.random
     })
@@ -191,8 +193,8 @@
     return [...suspectUntil.keys()]
   }
 
-  /** Agents that all others may depend on; this one too, unless they voted it out. */
-  function listAgents (): staging.StagingPeer[] {
+  /** Lists the agents that all others may depend on for pieces, including this one unless it was voted out. */
+  function listDependableAgents (): staging.StagingPeer[] {
     const fetchingMs = stager?.fetchingMs() ?? 0
     const livePeers = gossip.peers().filter((peer) => staging.isHeard({
       isOwnZone: peer.heartbeat.zone === checked.zone,
@@ -202,49 +204,49 @@
     }))
     const others = livePeers
       .filter(({ heartbeat }) => heartbeat.role === 'agent' && !heartbeat.isLeaving)
-      .map(({ heartbeat }) => ({ node: heartbeat.node, zone: heartbeat.zone, address: createFleetParts.internalAddress(parts, heartbeat.host) }))
+      .map(({ heartbeat }) => ({ node: heartbeat.node, zone: heartbeat.zone, address: createFleetParts.getInternalAddress(parts, heartbeat.host) }))
     const reports = [...livePeers.map(({ heartbeat }) => heartbeat), { node: self.node, suspects: [...suspectUntil.keys()] }]
-    const resigned = reports.filter(({ node, suspects }) => suspects.includes(node)).map(({ node }) => node)
-    return staging.listDependable(self, others, reports.map(({ suspects }) => suspects), resigned)
+    const selfSuspected = reports.filter(({ node, suspects }) => suspects.includes(node)).map(({ node }) => node)
+    return staging.listDependable(self, others, reports.map(({ suspects }) => suspects), selfSuspected)
   }
 
-  /** Null when the peer does not have what is asked for. */
-  async function fetch (peer: staging.StagingPeer, path: string, headers: Readonly<Record<string, string>> = {}, receiver: Pick<rpc.OutgoingRequest, 'onHead' | 'onBytes'> = {}): Promise<types.Outcome<rpc.WholeAnswer | null, types.UnavailableError>> {
+  /** Sends a GET request to another agent; null when it does not have what is requested. */
+  async function requestFromAgent (peer: staging.StagingPeer, path: string, headers: Readonly<Record<string, string>> = {}, receiver: Pick<rpc.OutgoingRequest, 'onHead' | 'onBytes'> = {}): Promise<types.Outcome<rpc.WholeAnswer | null, types.UnavailableError>> {
     const sent = await fetchWhole.fetchWhole(parts.agents, {
       base: `http://${peer.address.host}:${peer.address.port}`,
       path,
       method: 'GET',
       headers: { ...rpc.createIdentityHeaders(parts.identity), ...headers },
       ...receiver
-    }, PIECE_SILENCE_MS)
+    }, PIECE_IDLE_TIMEOUT_MS)
     return sent.ok ? types.succeed(sent.value.status === OK ? sent.value : null) : sent
   }
 
-  async function sendWeights (context: Koa.Context, next: Koa.Next): Promise<void> {
+  async function serveWeights (context: Koa.Context, next: Koa.Next): Promise<void> {
     const [, kind, model, version, wanted] = context.path.split('/')
     const id = { model: decodeURIComponent(model ?? ''), version: Number(version) }
-    if (`/${kind ?? ''}/` === PIECES_PATH) await sendPiece(context, id, (wanted ?? '').split(',').map(Number))
-    else if (`/${kind ?? ''}/` === MANIFESTS_PATH) await sendManifest(context, id)
+    if (`/${kind ?? ''}/` === PIECES_PATH) await servePiece(context, id, (wanted ?? '').split(',').map(Number))
+    else if (`/${kind ?? ''}/` === MANIFESTS_PATH) await serveManifest(context, id)
     else await next()
   }
 
-  async function sendPiece (context: Koa.Context, id: staging.VersionId, wanted: readonly number[]): Promise<void> {
+  async function servePiece (context: Koa.Context, id: staging.VersionId, wanted: readonly number[]): Promise<void> {
     const node = types.brandId<types.NodeId>(context.get(NODE_HEADER))
-    const taken = await stager?.providePiece(id, wanted, { node, mayRefer: context.get(REFER_HEADER) !== '', waitMs: staging.PIECE_WAIT_MS }) ?? null
-    if (taken === null) return
-    context.set(PIECE_HEADER, String(taken.piece))
-    if ('holder' in taken) {
-      context.set(HOLDER_HEADER, taken.holder)
+    const provided = await stager?.providePiece(id, wanted, { node, mayRefer: context.get(MAY_REFER_HEADER) !== '', waitMs: staging.PIECE_WAIT_MS }) ?? null
+    if (provided === null) return
+    context.set(PIECE_HEADER, String(provided.piece))
+    if ('holder' in provided) {
+      context.set(HOLDER_HEADER, provided.holder)
       context.body = Buffer.alloc(0)
       return
     }
     context.status = OK
-    context.length = taken.bytes
-    sendSlices(context, taken, { id, node })
+    context.length = provided.bytes
+    streamPiece(context, provided, { id, node })
   }
 
-  /** Past koa, whose way for streams loads the runtime's fetch and HTTP/2 when the first piece is sent. */
-  function sendSlices (context: Koa.Context, { piece, slices }: staging.ProvidedPiece, { id, node }: { readonly id: staging.VersionId, readonly node: types.NodeId }): void {
+  /** Bypasses Koa's stream handling, which loads the runtime's fetch and HTTP/2 modules when the first piece is sent. */
+  function streamPiece (context: Koa.Context, { piece, slices }: staging.ProvidedPiece, { id, node }: { readonly id: staging.VersionId, readonly node: types.NodeId }): void {
     context.respond = false
     nodeStream.pipeline(nodeStream.Readable.from(slices), context.res, (error) => {
       if (error === null || error === undefined) stager?.noteSent(id, piece, node)
@@ -252,7 +254,7 @@
     })
   }
 
-  async function sendManifest (context: Koa.Context, id: staging.VersionId): Promise<void> {
+  async function serveManifest (context: Koa.Context, id: staging.VersionId): Promise<void> {
     const digests = await stager?.provideManifest(id, staging.MANIFEST_WAIT_MS) ?? null
     if (digests !== null) context.body = Buffer.from(digests.join())
   }
@@ -273,7 +275,7 @@
   const closeMetrics = await openMetrics.openMetrics(parts, () => ({
     ...createFleetParts.describeSelf(parts, { isLeaving, isStoreLost: false }, null, listSuspects()),
     engine: report === null ? null : { ...report, models: Object.fromEntries(report.models), isPaused, changesInMs },
-    agents: listAgents().map((agent) => agent.node)
+    agents: listDependableAgents().map((agent) => agent.node)
   }))
 
   logger.info('started', { role: 'agent', engine: engineAddress, internalPort: checked.internal_port })
--- a/packages/daemon/src/startAgentRole/test.ts
+++ b/packages/daemon/src/startAgentRole/test.ts
@@ -13,7 +13,7 @@
   readonly engines: readonly testing.EngineStandIn[]
 }
 
-/** A gateway and an agent beside each of three engines. */
+/** Starts a gateway, and an engine with its agent for each entry of `versions`; 0 stands for an engine without weights. */
 async function openAgents (context: nodeTest.TestContext, versions: readonly number[]): Promise<OpenedAgents> {
   const fleet = await fleetTesting.openFleet(context, PIECES)
   fleet.configure()
@@ -38,12 +38,12 @@
   fleet.store.put('versions', fleetTesting.MODEL, { model: fleetTesting.MODEL, version })
 }
 
-/** An order for a stage that was not whole is noted as a negative number. */
+/** The engine stand-in records an order for an incomplete stage as a negative version. */
 function assertWholeOrders (engines: readonly testing.EngineStandIn[]): void {
   for (const engine of engines) assert.ok(engine.orders.every((order) => order > 0), `${engine.id} took ${engine.orders.join()}`)
 }
 
-nodeTest.test('a named version reaches every engine whole, and the origin sends little more than one copy', async (context) => {
+nodeTest.test('every engine gets a requested version completely, and the origin sends at most two copies', async (context) => {
   const { fleet, engines } = await openAgents(context, [1, 1, 1])
   nameVersion(fleet, 2)
   await fleetTesting.until(() => engines.every((engine) => engine.version() === 2))
@@ -51,13 +51,13 @@
   assert.ok(fleet.origin.sent() <= 2 * PIECES, `${fleet.origin.sent()} pieces`)
 })
 
-nodeTest.test('an empty engine is fed the version of the others', async (context) => {
+nodeTest.test('an engine without weights gets the version that the others run', async (context) => {
   const { engines } = await openAgents(context, [1, 1, 0])
   await fleetTesting.until(() => engines[2]?.version() === 1)
   assertWholeOrders(engines)
 })
 
-nodeTest.test('spoilt pieces and manifests are read again', async (context) => {
+nodeTest.test('corrupt pieces and manifests are fetched again', async (context) => {
   const { fleet, engines } = await openAgents(context, [1, 1])
   fleet.origin.faults.spoilManifests = 1
   fleet.origin.faults.spoilPieces = 3
@@ -66,7 +66,7 @@
   assertWholeOrders(engines)
 })
 
-nodeTest.test('a piece that turned bad in the stage is written again before the order', async (context) => {
+nodeTest.test('a piece that became corrupt in the stage is rewritten before the order', async (context) => {
   const { fleet, engines } = await openAgents(context, [1])
   const [engine] = engines as [testing.EngineStandIn]
   const put = engine.stage.set.bind(engine.stage)
@@ -80,7 +80,7 @@
   assertWholeOrders(engines)
 })
 
-nodeTest.test('an engine that restarts empty is fed again', async (context) => {
+nodeTest.test('an engine that restarts without weights gets them again', async (context) => {
   const { engines } = await openAgents(context, [1, 1])
   const [engine] = engines as [testing.EngineStandIn]
   engine.restart()
@@ -88,7 +88,7 @@
   assertWholeOrders(engines)
 })
 
-nodeTest.test('two versions in quick succession end at the newer one everywhere', async (context) => {
+nodeTest.test('after two version changes in quick succession every engine runs the newer version', async (context) => {
   const { fleet, engines } = await openAgents(context, [1, 1, 1])
   nameVersion(fleet, 2)
   nameVersion(fleet, 3)
--- a/packages/daemon/src/startBackendRole/index.ts
+++ b/packages/daemon/src/startBackendRole/index.ts
@@ -1,9 +1,9 @@
-/** A backend daemon: holds weights for its backend server, orders its engine and runs calls on it. */
+/** The backend role: stores weights for its backend server, tells its engine which versions to load, and runs calls on it. */
 import Koa from 'koa'
 import type * as settingsTypes from '@switchridge/settings'
 import * as gateway from '@switchridge/gateway'
 import * as types from '@switchridge/types'
-import * as platform from '@switchridge/store'
+import * as store from '@switchridge/store'
 import * as routing from '@switchridge/routing'
 import * as rpc from '@switchridge/rpc'
 import * as transfer from '@switchridge/transfer'
@@ -26,29 +26,29 @@
 const LEASE_MS = 10_000
 const LEASE_MARGIN_MS = 2000
 const DRAIN_POLL_MS = 50
-const HINT_CALL_MS = 500
-const PER_PEER_REQUESTS = 2
+const HINT_TIMEOUT_MS = 500
+const REQUESTS_PER_PEER = 2
 const DEFAULT_CONCURRENCY = 8
-const DEFAULT_QUEUE = 4
+const DEFAULT_QUEUE_LENGTH = 4
 
 /**
  * Starts the backend role.
  *
- * @param parts - The daemon's parts.
- * @param backEnd - The back end beside the daemon.
+ * @param parts - The daemon's shared parts.
+ * @param backEnd - The settings of the back end on the same host.
  * @returns The running role.
  */
 export async function startBackendRole (parts: createCommonParts.CommonParts, backEnd: NonNullable<settingsTypes.Settings['back_end']>): Promise<startDaemon.RunningRole> {
   const { settings, view, keeper, logger } = parts
-  const control = new Koa()
-  control.on('error', () => {})
-  const listener = await rpc.listenHttp(control.callback(), { ...settings.listen, ...(parts.tls === undefined ? {} : { tls: parts.tls }) })
-  const weights = await createWeightsListener.createWeightsListener()
-  const self = createCommonParts.createFirstFacts(parts, listener.address)
+  const controlApp = new Koa()
+  controlApp.on('error', () => {})
+  const listener = await rpc.listenHttp(controlApp.callback(), { ...settings.listen, ...(parts.tls === undefined ? {} : { tls: parts.tls }) })
+  const weightsListener = await createWeightsListener.createWeightsListener()
+  const self = createCommonParts.createInitialFacts(parts, listener.address)
   const { node, dataHall } = self.read()
   const uplink = transfer.createLinkPacer(settings.limits.link_bytes_per_second, parts.now)
   const downlink = transfer.createLinkPacer(settings.limits.link_bytes_per_second, parts.now)
-  const store = transfer.createChunkStore(settings.limits.chunk_memory_bytes)
+  const chunkStore = transfer.createChunkStore(settings.limits.chunk_memory_bytes)
   const counts: Record<string, number> = {}
   const count = (name: string): void => {
     counts[name] = (counts[name] ?? 0) + 1
@@ -56,11 +56,11 @@
   }
 
   const transfers = transfer.createTransfer({
-    store,
+    store: chunkStore,
     requests: createTransferRequests.createTransferRequests(parts, node, () => uploader.backlog()),
     downlink,
     requestsInFlight: settings.limits.requests_in_flight,
-    perPeer: PER_PEER_REQUESTS,
+    perPeer: REQUESTS_PER_PEER,
     now: parts.now,
     random: parts.random,
     onComplete: (digest) => {
@@ -74,7 +74,7 @@
   })
   const uploader = transfer.createUploader({
     identity: parts.identity,
-    store,
+    store: chunkStore,
     uplink,
     slots: settings.limits.upload_slots,
     onHave: transfers.noteHave,
@@ -83,7 +83,7 @@
   })
 
   const waitingEntryNodes = new Set<types.NodeId>()
-  const admission = routing.createAdmission(DEFAULT_CONCURRENCY, DEFAULT_QUEUE, hintWaiting)
+  const admission = routing.createAdmission(DEFAULT_CONCURRENCY, DEFAULT_QUEUE_LENGTH, notifyWaitingEntryNode)
   const tickets = routing.createTickets()
   const serving = createServing.createServing()
   const backEndState = createBackEndState.createBackEndState({ url: backEnd.url, name: `${node}/${parts.incarnation}`, probe: gateway.probeAddress })
@@ -104,29 +104,29 @@
     onAnswer: backEndState.noteAnswer
   })
 
-  /** Tells the entry node that has waited longest that a slot is free. */
-  function hintWaiting (): void {
-    const [first] = waitingEntryNodes
-    if (first === undefined) return
-    waitingEntryNodes.delete(first)
-    const member = view.find(first)
-    if (member !== undefined) void parts.client.call(member.facts.address, 'slots.free', { node, load: admission.load() }, HINT_CALL_MS)
+  /** Tells the entry node that has waited longest since a refused call that a slot is free. */
+  function notifyWaitingEntryNode (): void {
+    const [longestWaiting] = waitingEntryNodes
+    if (longestWaiting === undefined) return
+    waitingEntryNodes.delete(longestWaiting)
+    const member = view.find(longestWaiting)
+    if (member !== undefined) void parts.client.call(member.facts.address, 'slots.free', { node, load: admission.load() }, HINT_TIMEOUT_MS)
   }
 
   const placementLoop = createPlacementLoop.createPlacementLoop({
     self,
     view,
     keeper,
-    store,
+    store: chunkStore,
     transfer: transfers,
     serving,
-    weights,
+    weights: weightsListener,
     plan: planTransfer.createPlanTransfer({ node, dataHall, address: listener.address }, keeper.current, settings.experiments.transfer_policy),
     orders: createEngineOrders.createEngineOrders({
       url: backEnd.url,
       checksFences: backEnd.checks_fences,
       agents: parts.agents,
-      lease: platform.createLease(parts.store, `engine.${node}`, parts.incarnation, {
+      lease: store.createLease(parts.store, `engine.${node}`, parts.incarnation, {
         durationMs: LEASE_MS, marginMs: LEASE_MARGIN_MS, now: parts.now, takesOver: backEnd.checks_fences
       })
     }),
@@ -150,24 +150,24 @@
     table: heartbeats.sendTable,
     status: () => describeStatus.describeStatus(parts, self.read(), { transfers: transfers.progress(), load: admission.load(), counts: { ...counts, uploadedBytes: uploader.sentBytes(), backlog: uploader.backlog(), openRequests: transfers.openRequests() } }),
     ticket: (params) => {
-      const asked = schemas.ticketSchema.parse(params)
-      return asked.incarnation === parts.incarnation ? tickets.resolve(types.brandId<types.TicketId>(asked.ticket)) : 'unknown'
+      const request = schemas.ticketSchema.parse(params)
+      return request.incarnation === parts.incarnation ? tickets.resolve(types.brandId<types.TicketId>(request.ticket)) : 'unknown'
     },
     [createEntryQuarantine.ENDED_METHOD]: backEndState.readEndedLife,
     'transfer.announce': (params) => {
-      const said = schemas.announceSchema.parse(params)
-      transfers.noteHave(types.brandId<types.Digest>(said.digest), types.brandId<types.NodeId>(said.node), said.have)
+      const announcement = schemas.announceSchema.parse(params)
+      transfers.noteHave(types.brandId<types.Digest>(announcement.digest), types.brandId<types.NodeId>(announcement.node), announcement.have)
       return null
     },
     'transfer.provider': (params) => {
-      const asked = schemas.providerSchema.parse(params)
-      return transfers.answerProvider(types.brandId<types.Digest>(asked.digest), asked.chunk, asked.successor === null ? null : types.brandId<types.NodeId>(asked.successor))
+      const request = schemas.providerSchema.parse(params)
+      return transfers.answerProvider(types.brandId<types.Digest>(request.digest), request.chunk, request.successor === null ? null : types.brandId<types.NodeId>(request.successor))
     },
     ...createDrillMethods.createDrillMethods(parts)
   }
-  control.use(calls)
-  control.use(uploader.middleware)
-  control.use(rpc.createRpcServer(parts.identity, methods, parts.traffic))
+  controlApp.use(calls)
+  controlApp.use(uploader.middleware)
+  controlApp.use(rpc.createRpcServer(parts.identity, methods, parts.traffic))
 
   keeper.onAdopt((table) => {
     const service = table.services.find((row) => row.id === backEnd.service)
@@ -189,7 +189,7 @@
     stop: () => {
       heartbeats.stop()
       transfers.stop()
-      weights.close()
+      weightsListener.close()
       listener.abort()
       parts.agents.destroy()
       parts.metrics.close()
--- a/packages/daemon/src/startDaemon/index.ts
+++ b/packages/daemon/src/startDaemon/index.ts
@@ -5,22 +5,22 @@
 import * as startBackendRole from '../startBackendRole/index.js'
 import * as startEntryRole from '../startEntryRole/index.js'
 
-/** A role that runs. */
+/** A running role. */
 export interface RunningRole {
-  /** Where other daemons reach it. */
+  /** Address for other daemons. */
   readonly address: types.Address
-  /** Where callers reach it; null for a backend daemon. */
+  /** Address for callers; null for a backend daemon. */
   readonly callerAddress: types.Address | null
-  /** Refuses new work, lets work in progress end, and resolves when none is left. */
+  /** Refuses new calls and resolves when all calls in progress have ended. */
   readonly drain: () => Promise<void>
-  /** Ends everything at once. */
+  /** Stops immediately, without waiting for calls in progress. */
   readonly stop: () => void
 }
 
 /**
  * Starts a daemon.
  *
- * @param checked - The settings.
+ * @param checked - The validated settings.
  * @returns The running role.
  */
 export async function startDaemon (checked: settings.Settings): Promise<RunningRole> {
--- a/packages/daemon/src/startDaemon/test.ts
+++ b/packages/daemon/src/startDaemon/test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'node:assert/strict'
 import * as got from 'got'
 import type Koa from 'koa'
-import * as platform from '@switchridge/store'
+import * as store from '@switchridge/store'
 import * as rpc from '@switchridge/rpc'
 import * as settings from '@switchridge/settings'
 import * as standins from '@switchridge/standins'
@@ -15,8 +15,8 @@
 const TOKENS = 40
 const POLL_MS = 20
 
-/** Waits without a limit of its own; the runner's limit ends a test that hangs. */
-async function until (condition: () => Promise<boolean> | boolean): Promise<void> {
+/** Polls without a timeout of its own; the test runner's timeout ends a test that hangs. */
+async function waitUntil (condition: () => Promise<boolean> | boolean): Promise<void> {
   while (!(await condition())) await types.delay(POLL_MS)
 }
 
@@ -27,17 +27,17 @@
   return `http://${address.host}:${address.port}`
 }
 
-interface Hall {
+interface TestHall {
   readonly platformUrl: string
   readonly entry: startDaemon.RunningRole
   readonly backends: startDaemon.RunningRole[]
   readonly startBackend: (name: string) => Promise<startDaemon.RunningRole>
   readonly editVersion: (version: string) => Promise<boolean>
-  readonly ask: (prompt: string) => Promise<{ outcome: string, tokens: string[], version: string }>
+  readonly generate: (prompt: string) => Promise<{ outcome: string, tokens: string[], version: string }>
 }
 
-/** A platform, an origin, an entry node and two engines with their daemons, in this process. */
-async function openHall (context: test.TestContext): Promise<Hall> {
+/** Starts a platform, an origin, an entry node and two engines with their backend daemons in this process. */
+async function openHall (context: test.TestContext): Promise<TestHall> {
   const platformUrl = await openApp(context, standins.createPlatformStandIn())
   const originUrl = await openApp(context, standins.createOriginStandIn(0))
   const published = await got.got.post(`${originUrl}/admin/files`, { json: { name: 'w', parts: WEIGHTS, chunkBytes: 4096 } }).json<{ manifest: string }>()
@@ -55,10 +55,10 @@
     return await start(`role = "backend"\nnode = "${name}"\nentry_nodes = ["${HOST}:${entry.address.port}"]\n[listen]\nhost = "${HOST}"\nport = 0\n[back_end]\nservice = "llm"\nkind = "engine"\nurl = "${engineUrl}"`)
   }
   const backends = [await startBackend('backend-1'), await startBackend('backend-2')]
-  const store = platform.createObjectStore({ url: platformUrl, timeoutMs: 2000, agents: rpc.createHttpAgents() })
+  const objectStore = store.createObjectStore({ url: platformUrl, timeoutMs: 2000, agents: rpc.createHttpAgents() })
   const edit = async (section: types.SectionName, row: string, cells: Record<string, types.CellValue>): Promise<boolean> => {
     const changes = Object.entries({ id: row, ...cells }).map(([column, after]): types.CellChange => ({ section, row, column, before: null, after }))
-    return (await tables.editTable(store, { editId: types.brandId(`${row}-${JSON.stringify(cells)}`), editor: 'test', changes }, { attempts: 2 })).ok
+    return (await tables.editTable(objectStore, { editId: types.brandId(`${row}-${JSON.stringify(cells)}`), editor: 'test', changes }, { attempts: 2 })).ok
   }
   await edit('services', 'llm', { kind: 'engine', repeatable: 'none' })
   await edit('models', 'm', { service: 'llm', version: '1', source: 'w', manifest: published.manifest, bytes: WEIGHTS[0]?.bytes ?? 0, originBytesPerSecond: 100_000_000 })
@@ -70,7 +70,7 @@
     backends,
     startBackend,
     editVersion: async (version) => await edit('services', `other-${version}`, { kind: 'plain' }),
-    ask: async (prompt) => {
+    generate: async (prompt) => {
       const answer = await got.got.post(`${base}/services/llm/models/m/generate`, { json: { prompt, tokens: TOKENS }, retry: { limit: 0 }, throwHttpErrors: false })
       const lines = answer.body.split('\n').filter((line) => line.includes('"token"'))
       return { outcome: String(answer.headers['x-switchridge-outcome']), version: String(answer.headers['x-switchridge-version']), tokens: lines.map((line) => (JSON.parse(line) as { token: string }).token) }
@@ -78,52 +78,52 @@
   }
 }
 
-async function askStatus<Result> (role: startDaemon.RunningRole, read: (status: { counts: Record<string, number>, self: types.MemberFacts, load: { running: number } | null }) => Result): Promise<Result> {
+async function readStatus<Result> (role: startDaemon.RunningRole, read: (status: { counts: Record<string, number>, self: types.MemberFacts, load: { running: number } | null }) => Result): Promise<Result> {
   const client = rpc.createRpcClient({ deployment: 'test', sharedKey: '' }, rpc.createHttpAgents())
   const status = await client.call<{ counts: Record<string, number>, self: types.MemberFacts, load: { running: number } | null }>(role.address, 'status', {})
   assert.ok(status.ok)
   return read(status.value)
 }
 
-const isServing = async (role: startDaemon.RunningRole): Promise<boolean> => await askStatus(role, (status) => status.self.serving.length > 0)
+const isServing = async (role: startDaemon.RunningRole): Promise<boolean> => await readStatus(role, (status) => status.self.serving.length > 0)
 
 test.describe('startDaemon', () => {
   test.it('answers from the weights, cuts nothing when a backend server and an entry node leave, and gives the leaver no new work', async (context) => {
     const hall = await openHall(context)
     const weights = standins.computeWeights(WEIGHTS)
-    const isRight = (prompt: string, tokens: string[]): void => { assert.deepEqual(tokens, standins.computeAnswer(weights, prompt, TOKENS)) }
-    await until(async () => (await Promise.all(hall.backends.map(isServing))).every(Boolean))
-    await until(async () => (await hall.ask('first')).outcome === 'answered')
-    const [leaver, stayer] = hall.backends as [startDaemon.RunningRole, startDaemon.RunningRole]
+    const assertAnswer = (prompt: string, tokens: string[]): void => { assert.deepEqual(tokens, standins.computeAnswer(weights, prompt, TOKENS)) }
+    await waitUntil(async () => (await Promise.all(hall.backends.map(isServing))).every(Boolean))
+    await waitUntil(async () => (await hall.generate('first')).outcome === 'answered')
+    const [leaving, remaining] = hall.backends as [startDaemon.RunningRole, startDaemon.RunningRole]
 
-    const running = Array.from({ length: 8 }, async (_, index) => await hall.ask(`running-${index}`))
-    await until(async () => await askStatus(leaver, (status) => (status.load?.running ?? 0) > 0))
-    const drained = leaver.drain()
-    const later = await Promise.all(Array.from({ length: 4 }, async (_, index) => await hall.ask(`later-${index}`)))
-    for (const [index, answer] of (await Promise.all(running)).entries()) isRight(`running-${index}`, answer.tokens)
-    for (const [index, answer] of later.entries()) isRight(`later-${index}`, answer.tokens)
+    const running = Array.from({ length: 8 }, async (_, index) => await hall.generate(`running-${index}`))
+    await waitUntil(async () => await readStatus(leaving, (status) => (status.load?.running ?? 0) > 0))
+    const drained = leaving.drain()
+    const later = await Promise.all(Array.from({ length: 4 }, async (_, index) => await hall.generate(`later-${index}`)))
+    for (const [index, answer] of (await Promise.all(running)).entries()) assertAnswer(`running-${index}`, answer.tokens)
+    for (const [index, answer] of later.entries()) assertAnswer(`later-${index}`, answer.tokens)
     await drained
-    assert.equal(await askStatus(leaver, (status) => status.load?.running), 0)
-    assert.ok(await askStatus(stayer, (status) => (status.counts['calls.answered'] ?? 0) >= 4))
+    assert.equal(await readStatus(leaving, (status) => status.load?.running), 0)
+    assert.ok(await readStatus(remaining, (status) => (status.counts['calls.answered'] ?? 0) >= 4))
 
-    const last = hall.ask('last')
-    await until(async () => await askStatus(stayer, (status) => (status.load?.running ?? 0) > 0))
-    const left = hall.entry.drain()
-    isRight('last', (await last).tokens)
-    await left
+    const last = hall.generate('last')
+    await waitUntil(async () => await readStatus(remaining, (status) => (status.load?.running ?? 0) > 0))
+    const entryDrained = hall.entry.drain()
+    assertAnswer('last', (await last).tokens)
+    await entryDrained
   })
 
-  test.it('goes on serving without the platform, and a replaced daemon gets the table from its hall', async (context) => {
+  test.it('keeps serving while the platform is unavailable, and a replacement daemon gets the table from its hall', async (context) => {
     const hall = await openHall(context)
-    await until(async () => (await Promise.all(hall.backends.map(isServing))).every(Boolean))
-    const revision = await askStatus(hall.entry, (status) => status.self.revision)
+    await waitUntil(async () => (await Promise.all(hall.backends.map(isServing))).every(Boolean))
+    const revision = await readStatus(hall.entry, (status) => status.self.revision)
     await got.got.put(`${hall.platformUrl}/admin/faults`, { json: { isDown: true } })
-    await until(async () => (await hall.ask('without')).outcome === 'answered')
+    await waitUntil(async () => (await hall.generate('without')).outcome === 'answered')
     assert.equal(await hall.editVersion('2'), false)
-    const replaced = await hall.startBackend('backend-3')
-    await until(async () => await askStatus(replaced, (status) => status.self.revision === revision && status.self.holding.length === 1))
+    const replacement = await hall.startBackend('backend-3')
+    await waitUntil(async () => await readStatus(replacement, (status) => status.self.revision === revision && status.self.holding.length === 1))
     await got.got.put(`${hall.platformUrl}/admin/faults`, { json: { isDown: false } })
-    await until(async () => await isServing(replaced))
-    assert.equal((await hall.ask('after')).version, 'm@1')
+    await waitUntil(async () => await isServing(replacement))
+    assert.equal((await hall.generate('after')).version, 'm@1')
   })
 })
--- a/packages/daemon/src/startEntryRole/index.ts
+++ b/packages/daemon/src/startEntryRole/index.ts
@@ -1,8 +1,8 @@
-/** An entry node: takes callers' requests, keeps the hall's view of members and watches the table. */
+/** The entry role: accepts calls, maintains the data hall's membership view and watches the table. */
 import Koa from 'koa'
 import * as types from '@switchridge/types'
 import * as membership from '@switchridge/membership'
-import * as platform from '@switchridge/store'
+import * as store from '@switchridge/store'
 import * as routing from '@switchridge/routing'
 import * as rpc from '@switchridge/rpc'
 import * as createClaims from '../createClaims/index.js'
@@ -19,7 +19,7 @@
 import * as schemas from '../_lib/schemas.js'
 import type * as startDaemon from '../startDaemon/index.js'
 
-const PICKS: Readonly<Record<string, routing.PickBackend>> = {
+const PICK_POLICIES: Readonly<Record<string, routing.PickBackend>> = {
   'late-binding': routing.pickLateBinding,
   'least-loaded': routing.pickLeastLoaded,
   'two-choices': routing.pickTwoChoices,
@@ -27,7 +27,7 @@
   random: routing.pickRandom
 }
 
-/** Milliseconds for which a leaving entry node still takes calls, until the balancer has seen its health. */
+/** How long a draining entry node still accepts calls, until the load balancer has seen its health check fail. */
 const BALANCER_GRACE_MS = 2000
 const DRAIN_POLL_MS = 50
 const PUMP_INTERVAL_MS = 50
@@ -36,15 +36,15 @@
 /**
  * Starts the entry role.
  *
- * @param parts - The daemon's parts.
+ * @param parts - The daemon's shared parts.
  * @returns The running role.
  */
 export async function startEntryRole (parts: createCommonParts.CommonParts): Promise<startDaemon.RunningRole> {
   const { settings, view, keeper, loads, logger } = parts
-  const control = new Koa()
-  control.on('error', () => {})
-  const listener = await rpc.listenHttp(control.callback(), { ...settings.listen, ...(parts.tls === undefined ? {} : { tls: parts.tls }) })
-  const self = createCommonParts.createFirstFacts(parts, listener.address)
+  const controlApp = new Koa()
+  controlApp.on('error', () => {})
+  const listener = await rpc.listenHttp(controlApp.callback(), { ...settings.listen, ...(parts.tls === undefined ? {} : { tls: parts.tls }) })
+  const self = createCommonParts.createInitialFacts(parts, listener.address)
   const health = routing.createBackendHealth(parts.now)
   let isLeaving = false
 
@@ -57,7 +57,7 @@
   const dispatcher = createDispatcher.createDispatcher({
     loads,
     health,
-    pick: PICKS[settings.experiments.pick_backend] ?? routing.pickLateBinding,
+    pick: PICK_POLICIES[settings.experiments.pick_backend] ?? routing.pickLateBinding,
     listBackends,
     findService: (service) => keeper.current().services.find((row) => row.id === service),
     dataHall: self.read().dataHall,
@@ -82,8 +82,8 @@
     guard: quarantine.guard
   })
 
-  /** One entry node of the fleet sweeps old claims; two that think so do no harm. */
-  function isFirstEntryNode (): boolean {
+  /** Whether this entry node removes expired claims for the whole fleet. With different membership views two may do so, which is harmless. */
+  function isClaimSweeper (): boolean {
     const live = view.members().filter((member) => member.facts.role === 'entry' && member.condition === 'live')
     return membership.pickByRendezvous('sweep', live, (member) => member.facts.node)?.facts.node === self.read().node
   }
@@ -111,7 +111,7 @@
     random: parts.random
   })
   const nodeList = createNodeListPoll.createNodeListPoll(
-    async () => await platform.readNodeList(settings.platform.url, parts.agents, settings.platform.timeout_ms),
+    async () => await store.readNodeList(settings.platform.url, parts.agents, settings.platform.timeout_ms),
     view.applyNodeList,
     parts.random,
     () => membership.isHub(self.read(), view.members())
@@ -129,26 +129,26 @@
     ...quarantine.methods,
     ...createDrillMethods.createDrillMethods(parts)
   }
-  control.use(rpc.createRpcServer(parts.identity, methods, parts.traffic))
+  controlApp.use(rpc.createRpcServer(parts.identity, methods, parts.traffic))
 
-  const callers = new Koa()
-  callers.on('error', () => {})
-  callers.use(answerHealth)
-  callers.use(calls.middleware)
-  const callerListener = await rpc.listenHttp(callers.callback(), { host: settings.listen.host, port: settings.listen.caller_port ?? 0 })
+  const callerApp = new Koa()
+  callerApp.on('error', () => {})
+  callerApp.use(answerHealth)
+  callerApp.use(calls.middleware)
+  const callerListener = await rpc.listenHttp(callerApp.callback(), { host: settings.listen.host, port: settings.listen.caller_port ?? 0 })
 
-  /** For the platform's balancer: whether this entry node can serve callers now, and why not. */
+  /** Health check for the platform's load balancer: whether this entry node can serve callers, and if not, why. */
   async function answerHealth (context: Koa.Context, next: Koa.Next): Promise<void> {
     if (context.path !== '/health') {
       await next()
       return
     }
-    const reason = findUnhealthy()
+    const reason = findUnhealthyReason()
     context.status = reason === '' ? 200 : 503
     context.body = { ok: reason === '', reason, revision: keeper.current().revision }
   }
 
-  function findUnhealthy (): string {
+  function findUnhealthyReason (): string {
     if (isLeaving) return 'leaving'
     if (keeper.current().revision === 0) return 'no table yet'
     if (!quarantine.isSettled()) return 'blocked calls not read yet'
@@ -160,7 +160,7 @@
     heartbeats.pushRevision()
     void heartbeats.sendNow()
   })
-  const sweepTimer = setInterval(() => { if (isFirstEntryNode()) void claims.sweep() }, SWEEP_INTERVAL_MS)
+  const sweepTimer = setInterval(() => { if (isClaimSweeper()) void claims.sweep() }, SWEEP_INTERVAL_MS)
   const pumpTimer = setInterval(dispatcher.pump, PUMP_INTERVAL_MS)
   heartbeats.start()
   watch.start()
--- a/packages/daemon/src/startGatewayRole/fuzz.test.ts
+++ b/packages/daemon/src/startGatewayRole/fuzz.test.ts
@@ -1,4 +1,4 @@
-/** Random calls under random faults of engines, in pairs and replaced meanwhile, against the oracle of the rules. */
+/** Property test: random calls under random engine faults, limits and replacements, checked against an oracle of the delivery rules. */
 import * as assert from 'node:assert/strict'
 import * as nodeTest from 'node:test'
 import * as fastCheck from 'fast-check'
@@ -11,7 +11,7 @@
 const EVENTS = 6
 const MAXIMUM_ATTEMPTS = 3
 const SEEDS = [1, 7, 42, 2026]
-const RUNS_OF_SEED = 5
+const RUNS_PER_SEED = 5
 const STREAM_HEADERS = { model: fleetTesting.MODEL, 'token-count': '100,50' }
 const FAULTS: ReadonlyArray<testing.EngineFaults['next']> = ['reset', 'full', 'foreign', 'error', 'cut', 'torn', 'garbage', 'extra', 'unframed', 'unframed-reset']
 const LIMITS = [null, '0.5', '1', '20', '-1', 'many']
@@ -20,9 +20,9 @@
 type Step =
   | { readonly step: 'call', readonly kind: callOracle.SeenCall['kind'] }
   | { readonly step: 'fault', readonly engine: number, readonly fault: testing.EngineFaults['next'], readonly count: number }
-  /** An engine names another limit, something that is none, or nothing any more. */
+  /** An engine sends another rate limit, an invalid one, or none any more. */
   | { readonly step: 'limit', readonly engine: number, readonly text: string | null }
-  /** An engine ends, and another instance begins. */
+  /** An engine is stopped and replaced by a new instance. */
   | { readonly step: 'replace', readonly engine: number }
   | { readonly step: 'settle' }
 
@@ -34,25 +34,25 @@
   { weight: 1, arbitrary: fastCheck.record({ step: fastCheck.constant('settle' as const) }) }
 )
 
-interface Play {
+interface FuzzRun {
   readonly fleet: fleetTesting.TestFleet
   readonly address: types.Address
   readonly engines: testing.EngineStandIn[]
-  /** Engines that ended, too. */
+  /** All engines, including those that were replaced. */
   readonly all: testing.EngineStandIn[]
   instances: number
 }
 
-async function startEngine (play: Pick<Play, 'fleet' | 'engines' | 'all'>, index: number, instance: number): Promise<void> {
+async function startEngine (fuzzRun: Pick<FuzzRun, 'fleet' | 'engines' | 'all'>, index: number, instance: number): Promise<void> {
   const id = `i-${index}-${instance}`
   const engine = index < 3
-    ? await play.fleet.startEngine({ id }, 'api')
-    : await play.fleet.startEngine({ id, model: fleetTesting.MODEL, version: 1, events: EVENTS, eventMs: 2 })
-  play.engines[index] = engine
-  play.all.push(engine)
+    ? await fuzzRun.fleet.startEngine({ id }, 'api')
+    : await fuzzRun.fleet.startEngine({ id, model: fleetTesting.MODEL, version: 1, events: EVENTS, eventMs: 2 })
+  fuzzRun.engines[index] = engine
+  fuzzRun.all.push(engine)
 }
 
-async function openPlay (context: nodeTest.TestContext): Promise<Play> {
+async function openFuzzRun (context: nodeTest.TestContext): Promise<FuzzRun> {
   const fleet = await fleetTesting.openFleet(context)
   fleet.configure()
   const parts = { fleet, engines: [] as testing.EngineStandIn[], all: [] as testing.EngineStandIn[] }
@@ -62,61 +62,61 @@
   return { ...parts, address, instances: 0 }
 }
 
-async function sendCall (play: Play, id: string, kind: callOracle.SeenCall['kind']): Promise<callOracle.SeenCall> {
-  const answer = await fleetTesting.call(play.address, { method: kind === 'once' ? 'POST' : 'GET', path: `${PATHS[kind]}x`, id, headers: kind === 'stream' ? STREAM_HEADERS : {} })
+async function sendCall (fuzzRun: FuzzRun, id: string, kind: callOracle.SeenCall['kind']): Promise<callOracle.SeenCall> {
+  const answer = await fleetTesting.call(fuzzRun.address, { method: kind === 'once' ? 'POST' : 'GET', path: `${PATHS[kind]}x`, id, headers: kind === 'stream' ? STREAM_HEADERS : {} })
   const seal = answer.headers['engine-seal']
   return { id, kind, status: answer.status, body: answer.body, isWhole: answer.isWhole, seal: typeof seal === 'string' ? seal : null }
 }
 
-async function replaceEngine (play: Play, index: number): Promise<void> {
-  const ended = play.engines[index] as testing.EngineStandIn
-  play.instances += 1
-  await startEngine(play, index, play.instances)
-  play.fleet.store.remove('servers', ended.id)
+async function replaceEngine (fuzzRun: FuzzRun, index: number): Promise<void> {
+  const ended = fuzzRun.engines[index] as testing.EngineStandIn
+  fuzzRun.instances += 1
+  await startEngine(fuzzRun, index, fuzzRun.instances)
+  fuzzRun.fleet.store.remove('servers', ended.id)
   ended.close()
 }
 
-async function playSteps (play: Play, steps: readonly Step[], name: string): Promise<callOracle.SeenCall[]> {
-  const open: Array<Promise<callOracle.SeenCall>> = []
+async function runSteps (fuzzRun: FuzzRun, steps: readonly Step[], name: string): Promise<callOracle.SeenCall[]> {
+  const pending: Array<Promise<callOracle.SeenCall>> = []
   for (const [index, step] of steps.entries()) {
-    if (step.step === 'call') open.push(sendCall(play, `${name}-${index}`, step.kind))
-    else if (step.step === 'fault') Object.assign((play.engines[step.engine] as testing.EngineStandIn).faults, { next: step.fault, count: step.count })
-    else if (step.step === 'limit') (play.engines[step.engine] as testing.EngineStandIn).limit.text = step.text
-    else if (step.step === 'replace') await replaceEngine(play, step.engine)
-    else await Promise.all(open)
+    if (step.step === 'call') pending.push(sendCall(fuzzRun, `${name}-${index}`, step.kind))
+    else if (step.step === 'fault') Object.assign((fuzzRun.engines[step.engine] as testing.EngineStandIn).faults, { next: step.fault, count: step.count })
+    else if (step.step === 'limit') (fuzzRun.engines[step.engine] as testing.EngineStandIn).limit.text = step.text
+    else if (step.step === 'replace') await replaceEngine(fuzzRun, step.engine)
+    else await Promise.all(pending)
   }
-  return await Promise.all(open)
+  return await Promise.all(pending)
 }
 
 for (const seed of SEEDS) {
-  nodeTest.test(`no rule breaks under random faults of engines (seed ${seed})`, async (context) => {
-    const play = await openPlay(context)
+  nodeTest.test(`no delivery rule is violated under random engine faults (seed ${seed})`, async (context) => {
+    const fuzzRun = await openFuzzRun(context)
     let run = 0
     await fastCheck.assert(fastCheck.asyncProperty(fastCheck.array(stepArbitrary, { minLength: 20, maxLength: 40 }), async (steps) => {
       run += 1
       const name = `f${seed}-${run}`
-      const calls = await playSteps(play, steps, name)
-      const arrivals = play.all.flatMap((engine) => engine.arrivals).filter((arrival) => arrival.requestId.startsWith(`${name}-`))
+      const calls = await runSteps(fuzzRun, steps, name)
+      const arrivals = fuzzRun.all.flatMap((engine) => engine.arrivals).filter((arrival) => arrival.requestId.startsWith(`${name}-`))
       assert.deepEqual(callOracle.findViolations(calls, arrivals, EVENTS, MAXIMUM_ATTEMPTS), [])
-    }), { seed, numRuns: RUNS_OF_SEED, endOnFailure: true })
+    }), { seed, numRuns: RUNS_PER_SEED, endOnFailure: true })
   })
 }
 
-const SOUND: callOracle.SeenCall = { id: 'c', kind: 'once', status: 200, body: 'answer of i-1 to c', isWhole: true, seal: 'seal-i-1' }
+const VALID_CALL: callOracle.SeenCall = { id: 'c', kind: 'once', status: 200, body: 'answer of i-1 to c', isWhole: true, seal: 'seal-i-1' }
 const ARRIVAL: testing.Arrival = { requestId: 'c', method: 'POST', path: '/write/x', headers: {}, body: '', ran: true, at: 0 }
 
-const PLANTED: ReadonlyArray<{ readonly rule: callOracle.Violation['rule'], readonly call: callOracle.SeenCall, readonly arrivals: readonly testing.Arrival[] }> = [
-  { rule: 'twice', call: SOUND, arrivals: [ARRIVAL, ARRIVAL] },
-  { rule: 'refused-but-run', call: { ...SOUND, status: 503 }, arrivals: [ARRIVAL] },
-  { rule: 'foreign-answer', call: { ...SOUND, body: 'answer of i-1 to d' }, arrivals: [ARRIVAL] },
-  { rule: 'short-answer', call: { ...SOUND, body: 'swer of i-1 to c' }, arrivals: [ARRIVAL] },
-  { rule: 'event-order', call: { ...SOUND, kind: 'stream', body: 'id: 1\n\nid: 3\n\n' }, arrivals: [ARRIVAL] },
-  { rule: 'attempts', call: { ...SOUND, kind: 'repeatable' }, arrivals: [ARRIVAL, ARRIVAL, ARRIVAL, ARRIVAL] },
-  { rule: 'unasked', call: SOUND, arrivals: [ARRIVAL, { ...ARRIVAL, requestId: 'nobody' }] }
+const PLANTED_VIOLATIONS: ReadonlyArray<{ readonly rule: callOracle.Violation['rule'], readonly call: callOracle.SeenCall, readonly arrivals: readonly testing.Arrival[] }> = [
+  { rule: 'twice', call: VALID_CALL, arrivals: [ARRIVAL, ARRIVAL] },
+  { rule: 'refused-but-run', call: { ...VALID_CALL, status: 503 }, arrivals: [ARRIVAL] },
+  { rule: 'foreign-answer', call: { ...VALID_CALL, body: 'answer of i-1 to d' }, arrivals: [ARRIVAL] },
+  { rule: 'short-answer', call: { ...VALID_CALL, body: 'swer of i-1 to c' }, arrivals: [ARRIVAL] },
+  { rule: 'event-order', call: { ...VALID_CALL, kind: 'stream', body: 'id: 1\n\nid: 3\n\n' }, arrivals: [ARRIVAL] },
+  { rule: 'attempts', call: { ...VALID_CALL, kind: 'repeatable' }, arrivals: [ARRIVAL, ARRIVAL, ARRIVAL, ARRIVAL] },
+  { rule: 'unasked', call: VALID_CALL, arrivals: [ARRIVAL, { ...ARRIVAL, requestId: 'nobody' }] }
 ]
 
-for (const { rule, call, arrivals } of PLANTED) {
-  nodeTest.test(`the oracle finds a planted mistake (${rule})`, () => {
+for (const { rule, call, arrivals } of PLANTED_VIOLATIONS) {
+  nodeTest.test(`the oracle finds a planted violation (${rule})`, () => {
     assert.deepEqual(callOracle.findViolations([call], arrivals, EVENTS, MAXIMUM_ATTEMPTS).map((violation) => violation.rule), [rule])
   })
 }
--- a/packages/daemon/src/startGatewayRole/index.ts
+++ b/packages/daemon/src/startGatewayRole/index.ts
@@ -1,4 +1,4 @@
-/** A gateway: takes callers' requests, follows the store and serves them at back ends. */
+/** The gateway role: accepts calls, follows the store's objects and forwards the calls to back ends. */
 import * as gateway from '@switchridge/gateway'
 import * as platform from '@switchridge/platform'
 import type * as settings from '@switchridge/settings'
@@ -13,25 +13,25 @@
 import * as openMetrics from '../_lib/openMetrics.js'
 import type * as fleetRole from '../_lib/fleetRole.js'
 
-/** The balancer notices within this time that a gateway is not ready. */
+/** Within this time the load balancer notices that a gateway is not ready. */
 const BALANCER_NOTICE_MS = 2600
-/** A gateway that ends leaves this much of its grace unused. */
+/** Part of the grace period that a draining gateway leaves unused, so that it has ended before the period is over. */
 const GRACE_RESERVE_MS = 450
 const DRAIN_POLL_MS = 100
-/** Final answers of calls that could not end in time are sent within this. */
-const LAST_ANSWERS_MS = 100
+/** Time for sending the final responses of calls that did not end within the grace period. */
+const FINAL_ANSWERS_MS = 100
 const OK = 200
 const UNAVAILABLE = 503
 
 /**
  * Starts the gateway role.
  *
- * @param checked - The settings.
- * @param surroundings - Clocks and log; those of the process when absent.
+ * @param checked - The validated settings.
+ * @param environment - Clocks and log output; those of the process by default.
  * @returns The running role.
  */
-export async function startGatewayRole (checked: settings.FleetSettings, surroundings?: createFleetParts.PartsSurroundings): Promise<fleetRole.FleetRole> {
-  const parts = createFleetParts.createFleetParts(checked, surroundings)
+export async function startGatewayRole (checked: settings.FleetSettings, environment?: createFleetParts.PartsEnvironment): Promise<fleetRole.FleetRole> {
+  const parts = createFleetParts.createFleetParts(checked, environment)
   const { logger, metrics, now } = parts
   const book = gateway.createBackEndBook(now)
   const budgets = new Map<types.ServiceName, gateway.RetryBudget>()
@@ -49,14 +49,14 @@
     }
   })
   const listener = await createFleetParts.listenInternal(parts, [])
-  let opened: createFleetExchange.FleetExchange | null = null
+  let startedExchange: createFleetExchange.FleetExchange | null = null
   const callQuarantine = createCallQuarantine.createCallQuarantine({
     settings: checked.quarantine,
     store: client,
-    mayAskStore: () => opened?.mayAskStore() ?? false,
+    mayAskStore: () => startedExchange?.mayAskStore() ?? false,
     backEnds: parts.backEnds,
     book,
-    tell: (content, keptMs, ageMs) => { opened?.facts.tell(content, keptMs, ageMs) },
+    tell: (content, keptMs, ageMs) => { startedExchange?.facts.tell(content, keptMs, ageMs) },
     probe: gateway.probeAddress,
     logger,
     count: metrics.count,
@@ -65,12 +65,12 @@
   })
   const limiter = createRateLimiter.createRateLimiter({
     parts,
-    exchange: () => opened,
+    exchange: () => startedExchange,
     isLeaving: () => isLeaving,
     random: Math.random
   })
   const reserver = gateway.createReservationClient({
-    send: (host, bytes) => { opened?.send(host, bytes) },
+    send: (host, bytes) => { startedExchange?.send(host, bytes) },
     count: metrics.count,
     at: parts.at,
     now,
@@ -82,22 +82,22 @@
     openDatagrams: spread.openDatagrams(checked.host, checked.internal_port),
     fetchChanges: createFleetParts.fetchChanges(parts),
     describeSelf: (isStoreLost) => createFleetParts.describeSelf(parts, { isLeaving, isStoreLost }),
-    onHeartbeat: noteHeartbeat,
+    onHeartbeat: handleHeartbeat,
     onFact: (content, madeAt) => { if (!limiter.noteFact(content, madeAt)) callQuarantine.noteFact(content, madeAt) },
     onDatagram: (bytes, from) => limiter.receive(bytes, from) || reserver.receive(bytes, from),
     random: Math.random
   })
-  opened = exchange
+  startedExchange = exchange
   const { gossip } = exchange
 
-  function noteHeartbeat (heartbeat: spread.Heartbeat, delayMs: number, ageMs: number): void {
+  function handleHeartbeat (heartbeat: spread.Heartbeat, delayMs: number, ageMs: number): void {
     createFleetParts.noteVersions(parts, heartbeat)
-    const news = engineNews.parseEngineNews(heartbeat.engine, { host: heartbeat.host, soleModel: findSoleModel })
-    if (news === null) return
-    const backEnd = parts.backEndAt(news.address)
+    const engineUpdate = engineNews.parseEngineNews(heartbeat.engine, { host: heartbeat.host, soleModel: findSoleModel })
+    if (engineUpdate === null) return
+    const backEnd = parts.backEndAt(engineUpdate.address)
     if (backEnd === undefined) return
-    book.noteReport(backEnd.id, news, now() - delayMs - ageMs, delayMs)
-    if (news.report.limitPerSecond !== null) limiter.noteReported(backEnd, news.report.limitPerSecond, now() - delayMs - ageMs)
+    book.noteReport(backEnd.id, engineUpdate, now() - delayMs - ageMs, delayMs)
+    if (engineUpdate.report.limitPerSecond !== null) limiter.noteReported(backEnd, engineUpdate.report.limitPerSecond, now() - delayMs - ageMs)
   }
 
   function findSoleModel (address: string): string | null {
@@ -105,7 +105,7 @@
     return service === undefined ? null : parts.soleModelOf(service)
   }
 
-  /** Those that may still be sending count too: a budget is never more than its share. */
+  /** Counts peers that are no longer live, too, since they may still be sending: so a gateway's budget never exceeds its share. */
   function countGateways (): number {
     return 1 + gossip.peers().filter((peer) => peer.heartbeat.role === 'gateway').length
   }
@@ -119,11 +119,11 @@
     return types.getOrCreate(budgets, service, () => gateway.createRetryBudget({ ratio, slack, windowMs: seconds * types.MILLISECONDS_IN_SECOND }, countGateways, now))
   }
 
-  function errorsOf (service: types.ServiceName): gateway.ErrorBound {
+  function errorBoundOf (service: types.ServiceName): gateway.ErrorBound {
     return types.getOrCreate(errorBounds, service, () => gateway.createErrorBound(now))
   }
 
-  function choose (choice: gateway.CallChoice): gateway.ChoiceOutcome {
+  function chooseBackEnd (choice: gateway.CallChoice): gateway.ChoiceOutcome {
     const figures = parts.routes()?.findService(choice.service)?.engine ?? null
     const { model } = choice
     return gateway.chooseBackEnd({
@@ -150,9 +150,9 @@
     protocol: platform.createCallProtocol(),
     routes: parts.routes,
     book,
-    choose,
+    choose: chooseBackEnd,
     budgetOf,
-    errorsOf,
+    errorsOf: errorBoundOf,
     sharedTargetOf: gateway.createSharedTargets(now).note,
     guard: callQuarantine,
     limiter,
@@ -186,16 +186,16 @@
     gossip.sendNow()
     while (now() < endsBy) {
       await types.delay(DRAIN_POLL_MS)
-      const isNoticed = now() - startedAt >= BALANCER_NOTICE_MS
-      if (isNoticed) {
+      const hasBalancerNoticed = now() - startedAt >= BALANCER_NOTICE_MS
+      if (hasBalancerNoticed) {
         server.stopAccepting()
         server.closeIdle()
       }
-      if (isNoticed && calls.inProgress() === 0) return
+      if (hasBalancerNoticed && calls.inProgress() === 0) return
     }
     logger.warn('drain-ended-early', { inProgress: calls.inProgress() })
     calls.endAll()
-    await types.delay(LAST_ANSWERS_MS)
+    await types.delay(FINAL_ANSWERS_MS)
   }
 
   metrics.gauge('calls_in_progress', calls.inProgress)
--- a/packages/daemon/src/startGatewayRole/rateLimits.test.ts
+++ b/packages/daemon/src/startGatewayRole/rateLimits.test.ts
@@ -1,10 +1,6 @@
 /**
- * What users saw: two engines in need named in their answers how many requests a second they take from all machines together, and got up to twice as many for a minute;
- * callers noticed nothing.
- * Order of events: the engines name their limits at the same second; the gateways pass the answers on; three seconds later each engine still gets as many calls as its neighbours without a
- * limit, most of them from the gateways of its own hall, all at the first attempt.
- * Cause: no gateway read the limit, and none could keep it alone: it holds for the sum of what all gateways send, which none of them knows.
- * Evidence: on the code of that day three gateways that had passed the limit of 1 a second on to callers sent it 24, 42 and 30 of 60 calls in three runs, within four seconds each.
+ * Guards against exceeding the request rate that a back end names in its responses. The limit holds for the sum of what all gateways send, which none of them knows, so no gateway
+ * can keep it alone. When gateways ignored it, a back end with a limit of 1 a second got as many calls as its neighbours: 24 to 42 of 60 calls within four seconds from three gateways.
  */
 import * as assert from 'node:assert/strict'
 import * as nodeTest from 'node:test'
@@ -14,7 +10,7 @@
 
 const HOSTS = ['127.0.0.1', '127.0.0.2', '127.0.0.3'] as const
 const HEADERS = { model: fleetTesting.MODEL, 'token-count': '100,50' }
-const CALLS_OF_GATEWAY = 20
+const CALLS_PER_GATEWAY = 20
 const WINDOW_MS = 4000
 const OK = 200
 const ENGINE_ERROR = 500
@@ -27,8 +23,8 @@
   readonly other: testing.EngineStandIn
 }
 
-/** Some gateways before two engines, one of which names a limit. */
-async function openLimited (context: nodeTest.TestContext, limit: string): Promise<LimitedFleet> {
+/** Starts gateways and two engines, one of which names a limit in its responses. */
+async function openLimitedFleet (context: nodeTest.TestContext, limit: string): Promise<LimitedFleet> {
   const fleet = await fleetTesting.openFleet(context)
   fleet.configure()
   const limited = await fleet.startEngine({ id: 'i-limited', model: fleetTesting.MODEL, version: 1, events: 3 })
@@ -44,71 +40,71 @@
   return await fleetTesting.call(gateway, { method: 'POST', path: '/stream/quote', id, body: 'quote', headers: HEADERS })
 }
 
-/** Calls each gateway until it has passed an answer with the limit on, as long as it gets one. */
-async function untilTold ({ gateways, limited }: LimitedFleet): Promise<void> {
+/** Sends calls to each gateway until one reaches the limited engine, so that the gateway sees the limit; gives up after {@link CALLS_PER_GATEWAY} calls. */
+async function untilLimitPassedOn ({ gateways, limited }: LimitedFleet): Promise<void> {
   for (const [index, gateway] of gateways.entries()) {
     const before = limited.arrivals.length
-    for (let attempt = 0; attempt < CALLS_OF_GATEWAY && limited.arrivals.length === before; attempt += 1) await send(gateway, `told-${index}-${attempt}`)
+    for (let attempt = 0; attempt < CALLS_PER_GATEWAY && limited.arrivals.length === before; attempt += 1) await send(gateway, `told-${index}-${attempt}`)
   }
 }
 
-/** Most arrivals in some window. */
-function countMost (arrivals: readonly testing.Arrival[], windowMs: number): number {
+/** The largest number of arrivals within any window of this length. */
+function countPeakArrivals (arrivals: readonly testing.Arrival[], windowMs: number): number {
   return Math.max(0, ...arrivals.map((first) => arrivals.filter(({ at }) => at >= first.at && at < first.at + windowMs).length))
 }
 
-/** What a limit allows in some four seconds. */
-function allowedIn (perSecond: number): number {
+/** Upper bound of the calls within {@link WINDOW_MS}, which leaves room for bursts. */
+function computeAllowed (perSecond: number): number {
   return 6 * perSecond + 5
 }
 
-nodeTest.test('a back end that names a limit gets no more from all gateways together', async (context) => {
-  const fleet = await openLimited(context, '1')
-  await untilTold(fleet)
+nodeTest.test('a back end that names a limit gets no more calls than that from all gateways together', async (context) => {
+  const fleet = await openLimitedFleet(context, '1')
+  await untilLimitPassedOn(fleet)
   const before = fleet.limited.arrivals.length
   const chains = fleet.gateways.map(async (gateway, index) => {
     const answers: testing.CallerAnswer[] = []
-    for (let call = 0; call < CALLS_OF_GATEWAY; call += 1) answers.push(await send(gateway, `call-${index}-${call}`))
+    for (let call = 0; call < CALLS_PER_GATEWAY; call += 1) answers.push(await send(gateway, `call-${index}-${call}`))
     return answers
   })
   const answers = (await Promise.all(chains)).flat()
   const arrivals = fleet.limited.arrivals.slice(before)
   context.diagnostic(`${arrivals.length} of ${answers.length} calls`)
-  assert.ok(countMost(arrivals, WINDOW_MS) <= allowedIn(1), `${countMost(arrivals, WINDOW_MS)} in some four seconds, ${allowedIn(1)} allowed`)
+  assert.ok(countPeakArrivals(arrivals, WINDOW_MS) <= computeAllowed(1), `${countPeakArrivals(arrivals, WINDOW_MS)} in some four seconds, ${computeAllowed(1)} allowed`)
   assert.deepEqual(answers.filter(({ status }) => status !== OK), [])
 })
 
-nodeTest.test('calls that no back end takes now are refused at once, with the time at which one may, and have not run', async (context) => {
-  const fleet = await openLimited(context, '1')
+nodeTest.test('calls that exceed the limits of all back ends are refused at once with a retry time, and are not run', async (context) => {
+  const fleet = await openLimitedFleet(context, '1')
   fleet.other.limit.text = '1'
-  await untilTold(fleet)
-  await untilTold({ ...fleet, limited: fleet.other })
+  await untilLimitPassedOn(fleet)
+  await untilLimitPassedOn({ ...fleet, limited: fleet.other })
   const before = [fleet.limited, fleet.other].flatMap(({ arrivals }) => arrivals).length
   const answers: testing.CallerAnswer[] = []
-  for (let call = 0; call < CALLS_OF_GATEWAY; call += 1) answers.push(await send(fleet.gateways[call % HOSTS.length] as types.Address, `call-${call}`))
+  for (let call = 0; call < CALLS_PER_GATEWAY; call += 1) answers.push(await send(fleet.gateways[call % HOSTS.length] as types.Address, `call-${call}`))
   const served = answers.filter(({ status }) => status === OK)
   const refused = answers.filter(({ status }) => status === SERVICE_UNAVAILABLE)
-  assert.equal(served.length + refused.length, CALLS_OF_GATEWAY)
+  assert.equal(served.length + refused.length, CALLS_PER_GATEWAY)
   assert.ok(refused.length > 0)
   assert.ok(refused.every(({ headers }) => Number(headers['retry-after']) > 0))
   assert.equal([fleet.limited, fleet.other].flatMap(({ arrivals }) => arrivals).length - before, served.length)
 })
 
-nodeTest.test('a limit ends everywhere when the back end stops naming it', async (context) => {
-  const fleet = await openLimited(context, '2')
-  await untilTold(fleet)
+nodeTest.test('a limit ends at all gateways when the back end stops naming it', async (context) => {
+  const fleet = await openLimitedFleet(context, '2')
+  await untilLimitPassedOn(fleet)
   fleet.limited.limit.text = null
   let sent = 0
   for (const gateway of fleet.gateways) {
     await fleetTesting.until(async () => {
       const before = fleet.limited.arrivals.length
-      for (let call = 0; call < CALLS_OF_GATEWAY; call += 1) await send(gateway, `call-${sent++}`)
+      for (let call = 0; call < CALLS_PER_GATEWAY; call += 1) await send(gateway, `call-${sent++}`)
       return fleet.limited.arrivals.length - before > 4
     })
   }
 })
 
-nodeTest.test('the agent beside an engine counts for all gateways, which hear of the limit by its reports', async (context) => {
+nodeTest.test('the agent beside an engine counts calls for all gateways, which learn the limit from its reports', async (context) => {
   const fleet = await fleetTesting.openFleet(context)
   fleet.configure()
   const limited = await fleet.startEngine({ id: 'i-limited', model: fleetTesting.MODEL, version: 1, events: 3, host: AGENT_HOST })
@@ -125,11 +121,11 @@
     await Promise.all(gateways.map(async (gateway) => await send(gateway, `call-${sent++}`)))
     return limited.arrivals.length - before >= 3
   })
-  assert.ok(countMost(limited.arrivals, WINDOW_MS) <= allowedIn(1))
+  assert.ok(countPeakArrivals(limited.arrivals, WINDOW_MS) <= computeAllowed(1))
   assert.ok(other.arrivals.length > limited.arrivals.length)
 })
 
-nodeTest.test('a gateway that starts again hears of a limit from the others', async (context) => {
+nodeTest.test('a gateway that restarts learns a limit from the others', async (context) => {
   const fleet = await fleetTesting.openFleet(context)
   fleet.configure()
   const engine = await fleet.startEngine({ id: 'i-limited', model: fleetTesting.MODEL, version: 1, events: 3 })
@@ -146,7 +142,7 @@
   assert.equal(engine.arrivals.length, before)
 })
 
-nodeTest.test('a plain back end that names a limit is kept to it, too', async (context) => {
+nodeTest.test('the limit of a plain back end is kept, too', async (context) => {
   const fleet = await fleetTesting.openFleet(context)
   fleet.configure()
   const limited = await fleet.startEngine({ id: 'p-limited' }, 'api')
@@ -163,14 +159,14 @@
   const before = limited.arrivals.length
   const answers = await Promise.all(gateways.map(async (gateway, index) => {
     const statuses: number[] = []
-    for (let call = 0; call < CALLS_OF_GATEWAY; call += 1) statuses.push((await fleetTesting.call(gateway, { path: '/read/x', id: `call-${index}-${call}` })).status)
+    for (let call = 0; call < CALLS_PER_GATEWAY; call += 1) statuses.push((await fleetTesting.call(gateway, { path: '/read/x', id: `call-${index}-${call}` })).status)
     return statuses
   }))
   assert.deepEqual(answers.flat().filter((status) => status !== OK), [])
-  assert.ok(countMost(limited.arrivals.slice(before), WINDOW_MS) <= allowedIn(0.5))
+  assert.ok(countPeakArrivals(limited.arrivals.slice(before), WINDOW_MS) <= computeAllowed(0.5))
 })
 
-nodeTest.test('an error without a limit ends none', async (context) => {
+nodeTest.test('an error response without a limit does not end the limit in force', async (context) => {
   const fleet = await fleetTesting.openFleet(context)
   fleet.configure()
   const engine = await fleet.startEngine({ id: 'p-limited' }, 'api')
--- a/packages/daemon/src/startGatewayRole/suspended.test.ts
+++ b/packages/daemon/src/startGatewayRole/suspended.test.ts
@@ -1,4 +1,4 @@
-/** Deadlines of a gateway whose machine was suspended: its timers stood still, those of its callers did not. */
+/** Deadlines after a suspension of the gateway's machine, during which its timers stopped while its callers' timers went on. */
 import * as assert from 'node:assert/strict'
 import * as nodeTest from 'node:test'
 import * as clock from '@switchridge/clock'
@@ -8,11 +8,11 @@
 const HOST = '127.0.0.1'
 const CALL_MS = 60_000
 const SUSPENDED_MS = 120_000
-/** The time since the start of the machine is believed once it has kept to the steady clock for a second. */
-const BELIEVED_MS = 1300
+/** The steady clock trusts the machine's uptime once the two have agreed for a second. */
+const CLOCK_PROBATION_MS = 1300
 
 interface SuspendedMachine extends clock.MachineClocks {
-  /** As if the machine had been suspended until now for so long. */
+  /** Simulates a suspension of this length that ends now. */
   readonly suspend: (milliseconds: number) => void
 }
 
@@ -26,14 +26,14 @@
   }
 }
 
-nodeTest.test('a call whose deadline passed while the machine was suspended gets its final answer at once', async (context) => {
+nodeTest.test('a call whose deadline passed while the machine was suspended gets its final response at once', async (context) => {
   const fleet = await fleetTesting.openFleet(context)
   fleet.configure((configuration) => { for (const route of configuration.routes) route['timeoutMs'] = CALL_MS })
   const engine = await fleet.startEngine({ id: 'i-1' }, 'api')
   const machine = createMachine()
   const address = await fleet.startGateway(HOST, [], machine)
   await fleetTesting.untilServed(address, '/read/probe')
-  await types.delay(BELIEVED_MS)
+  await types.delay(CLOCK_PROBATION_MS)
   Object.assign(engine.faults, { next: 'mute', count: 1 })
   const waiting = fleetTesting.call(address, { method: 'POST', path: '/write/1', id: 'w-1', headers: { 'deadline-remaining': String(CALL_MS) } })
   await fleetTesting.until(() => engine.arrivals.some(({ requestId }) => requestId === 'w-1'))
@@ -41,14 +41,14 @@
   assert.equal((await waiting).status, 504)
 })
 
-nodeTest.test('a gateway that was told to end before its machine was suspended ends at once after it, with an answer to each call', async (context) => {
+nodeTest.test('a gateway whose grace period passed while the machine was suspended stops right after it, with a response to each call', async (context) => {
   const fleet = await fleetTesting.openFleet(context)
   fleet.configure((configuration) => { for (const route of configuration.routes) route['timeoutMs'] = 2 * SUSPENDED_MS })
   const engine = await fleet.startEngine({ id: 'i-1' }, 'api')
   const machine = createMachine()
   const address = await fleet.startGateway(HOST, [], machine)
   await fleetTesting.untilServed(address, '/read/probe')
-  await types.delay(BELIEVED_MS)
+  await types.delay(CLOCK_PROBATION_MS)
   Object.assign(engine.faults, { next: 'mute', count: 1 })
   const waiting = fleetTesting.call(address, { method: 'POST', path: '/write/1', id: 'w-1', headers: { 'deadline-remaining': String(2 * SUSPENDED_MS) } })
   await fleetTesting.until(() => engine.arrivals.some(({ requestId }) => requestId === 'w-1'))
--- a/packages/daemon/src/startGatewayRole/test.ts
+++ b/packages/daemon/src/startGatewayRole/test.ts
@@ -13,8 +13,8 @@
   readonly engines: readonly testing.EngineStandIn[]
 }
 
-/** A gateway before two back ends of a plain service. */
-async function openPlain (context: nodeTest.TestContext): Promise<OpenedGateway> {
+/** Starts a gateway and two back ends of a plain service. */
+async function openPlainService (context: nodeTest.TestContext): Promise<OpenedGateway> {
   const fleet = await fleetTesting.openFleet(context)
   fleet.configure()
   const engines = [await fleet.startEngine({ id: 'i-1' }, 'api'), await fleet.startEngine({ id: 'i-2' }, 'api')]
@@ -23,8 +23,8 @@
   return { fleet, address, engines }
 }
 
-/** A gateway before two engines that stream. */
-async function openStreams (context: nodeTest.TestContext, events = 6): Promise<OpenedGateway> {
+/** Starts a gateway and two engines that answer with event streams. */
+async function openStreamService (context: nodeTest.TestContext, events = 6): Promise<OpenedGateway> {
   const fleet = await fleetTesting.openFleet(context)
   fleet.configure()
   const engines = [
@@ -36,7 +36,7 @@
   return { fleet, address, engines }
 }
 
-function strike (engines: readonly testing.EngineStandIn[], next: testing.EngineFaults['next'], count = 1): void {
+function injectFault (engines: readonly testing.EngineStandIn[], next: testing.EngineFaults['next'], count = 1): void {
   for (const engine of engines) Object.assign(engine.faults, { next, count })
 }
 
@@ -46,8 +46,8 @@
 
 const STREAM_HEADERS = { model: fleetTesting.MODEL, 'token-count': '100,50' }
 
-nodeTest.test('a call reaches an engine with its tenant, its deadline and without its key', async (context) => {
-  const { address, engines } = await openPlain(context)
+nodeTest.test('a call reaches an engine with its tenant and deadline, and without its API key', async (context) => {
+  const { address, engines } = await openPlainService(context)
   const answer = await fleetTesting.call(address, {
     method: 'POST', path: '/write/1?x=%20y', id: 'w-1', body: 'order', headers: { tenant: 'forged', 'x-own': 'kept', connection: 'x-secret', 'x-secret': '1', 'deadline-remaining': '900' }
   })
@@ -64,8 +64,8 @@
   assert.ok(remaining > 0 && remaining <= 900)
 })
 
-nodeTest.test('unknown keys and routes are refused, public routes need no key, and large bodies are', async (context) => {
-  const { address } = await openPlain(context)
+nodeTest.test('unknown API keys, unknown routes and oversized bodies are refused, and public routes need no key', async (context) => {
+  const { address } = await openPlainService(context)
   assert.equal((await fleetTesting.call(address, { path: '/read/1', id: 'a', headers: { authorization: 'Bearer wrong' } })).status, 401)
   assert.equal((await fleetTesting.call(address, { path: '/nowhere/1', id: 'b' })).status, 404)
   assert.equal((await fleetTesting.call(address, { path: '/open/1', id: 'c', headers: { authorization: 'Bearer wrong' } })).status, 200)
@@ -81,47 +81,47 @@
 })
 
 for (const fault of ['reset', 'foreign', 'garbage', 'cut', 'unframed-reset'] as const) {
-  nodeTest.test(`a call that may run once is sent once when its answer is lost (${fault})`, async (context) => {
-    const { address, engines } = await openPlain(context)
-    strike(engines, fault)
+  nodeTest.test(`a non-idempotent call is sent only once when its response is lost (${fault})`, async (context) => {
+    const { address, engines } = await openPlainService(context)
+    injectFault(engines, fault)
     const answer = await fleetTesting.call(address, { method: 'POST', path: '/write/1', id: 'w-1', body: 'order' })
     assert.equal(answer.status, 502)
     assert.equal(answer.headers['engine-seal'], undefined)
     assert.equal(arrivalsOf(engines, 'w-1').length, 1)
   })
 
-  nodeTest.test(`a repeatable call is tried elsewhere when its answer is lost (${fault})`, async (context) => {
-    const { address, engines } = await openPlain(context)
+  nodeTest.test(`a repeatable call is retried at another back end when its response is lost (${fault})`, async (context) => {
+    const { address, engines } = await openPlainService(context)
     for (let index = 0; index < 30; index += 1) await fleetTesting.call(address, { path: '/read/1', id: `fill-${index}` })
-    strike([engines[0] as testing.EngineStandIn], fault, 2)
+    injectFault([engines[0] as testing.EngineStandIn], fault, 2)
     const answers = await Promise.all([1, 2].map(async (index) => await fleetTesting.call(address, { path: '/read/1', id: `r-${index}` })))
     for (const answer of answers) assert.equal(answer.status, 200)
   })
 }
 
-nodeTest.test('a call that no engine ran is refused as such, with a time to come back', async (context) => {
-  const { address, engines } = await openPlain(context)
-  strike(engines, 'full', 5)
+nodeTest.test('a call that no engine ran is answered 503 with a retry time', async (context) => {
+  const { address, engines } = await openPlainService(context)
+  injectFault(engines, 'full', 5)
   const answer = await fleetTesting.call(address, { method: 'POST', path: '/write/1', id: 'w-1', body: 'order' })
   assert.equal(answer.status, 503)
   assert.ok(Number(answer.headers['retry-after']) > 0)
   assert.ok(arrivalsOf(engines, 'w-1').every((arrival) => !arrival.ran))
 })
 
-nodeTest.test('a silent engine ends in 504 at the route\'s time', async (context) => {
-  const { address, engines } = await openPlain(context)
-  strike(engines, 'mute')
+nodeTest.test('an engine that does not respond leads to 504 at the deadline', async (context) => {
+  const { address, engines } = await openPlainService(context)
+  injectFault(engines, 'mute')
   const answer = await fleetTesting.call(address, { method: 'POST', path: '/write/1', id: 'w-1', body: 'order', headers: { 'deadline-remaining': '300' } })
   assert.equal(answer.status, 504)
 })
 
-nodeTest.test('an engine\'s own failure passes with its seal, and an unframed answer whole', async (context) => {
-  const { address, engines } = await openPlain(context)
-  strike(engines, 'error')
+nodeTest.test('an engine\'s own error is passed on with its seal, and a response without framing headers is passed on completely', async (context) => {
+  const { address, engines } = await openPlainService(context)
+  injectFault(engines, 'error')
   const failed = await fleetTesting.call(address, { method: 'POST', path: '/write/1', id: 'w-1', body: 'order' })
   assert.equal(failed.status, 500)
   assert.match(String(failed.headers['engine-seal']), /^seal-i-/)
-  strike(engines, 'unframed')
+  injectFault(engines, 'unframed')
   const unframed = await fleetTesting.call(address, { method: 'POST', path: '/write/1', id: 'w-2', body: 'order' })
   assert.equal(unframed.status, 200)
   assert.match(unframed.body, /to w-2$/)
@@ -129,9 +129,9 @@
   assert.equal(unframed.headers['transfer-encoding'], undefined)
 })
 
-nodeTest.test('an answer that follows another one meets no call', async (context) => {
-  const { address, engines } = await openPlain(context)
-  strike(engines, 'extra', 3)
+nodeTest.test('a surplus response on a connection is not given to the next call', async (context) => {
+  const { address, engines } = await openPlainService(context)
+  injectFault(engines, 'extra', 3)
   for (const id of ['w-1', 'w-2', 'w-3', 'w-4']) {
     const answer = await fleetTesting.call(address, { method: 'POST', path: '/write/1', id, body: 'order' })
     assert.match(answer.body, new RegExp(`to ${id}$`))
@@ -139,27 +139,27 @@
 })
 
 /**
- * Callers saw: after a return of all machines most calls that came in its first two seconds were late, although engines were fast again: those who had been
- * refused before came back at the same moment and were let in first.
+ * Guards against late calls delaying the others: when all machines come back at once, callers that were refused before retry at the same moment, and if they are served
+ * first, most calls of the first two seconds are late although the engines are fast.
  */
-nodeTest.test('a call that is late already goes to an engine as a less urgent one, and a stream that has begun does not', async (context) => {
-  const { address, engines } = await openStreams(context)
+nodeTest.test('a call that is already late is sent to an engine with lower urgency, and a stream that has begun is not', async (context) => {
+  const { address, engines } = await openStreamService(context)
   const send = async (id: string, remaining: string): Promise<unknown> => await fleetTesting.call(address, { path: '/stream/1', id, headers: { ...STREAM_HEADERS, 'deadline-remaining': remaining } })
   await send('s-first', '2000')
   await send('s-late', '1200')
   const urgencies = (id: string): unknown[] => arrivalsOf(engines, id).map((arrival) => arrival.headers['request-urgency'])
   assert.deepEqual(urgencies('s-first'), [undefined])
   assert.deepEqual(urgencies('s-late'), ['8'])
-  strike(engines, 'cut')
+  injectFault(engines, 'cut')
   await send('s-moved', '1200')
   assert.deepEqual(urgencies('s-moved')[1], undefined, 'its caller waits for the next event')
 })
 
 for (const fault of ['cut', 'torn', 'reset'] as const) {
-  nodeTest.test(`a stream goes on at another engine without a missing or doubled event (${fault})`, async (context) => {
-    const { address, engines } = await openStreams(context)
+  nodeTest.test(`a stream continues at another engine without missing or duplicate events (${fault})`, async (context) => {
+    const { address, engines } = await openStreamService(context)
     for (let index = 0; index < 20; index += 1) await fleetTesting.call(address, { path: '/stream/1', id: `fill-${index}`, headers: STREAM_HEADERS })
-    strike([engines[0] as testing.EngineStandIn], fault, 2)
+    injectFault([engines[0] as testing.EngineStandIn], fault, 2)
     const answers = await Promise.all([1, 2, 3].map(async (index) => await fleetTesting.call(address, { path: '/stream/1', id: `s-${index}`, headers: STREAM_HEADERS })))
     for (const answer of answers) {
       assert.equal(answer.status, 200)
@@ -169,14 +169,14 @@
   })
 }
 
-nodeTest.test('a caller that leaves ends the engine\'s work', async (context) => {
-  const { address, engines } = await openStreams(context, 1000)
+nodeTest.test('a call is cancelled at the engine when its caller disconnects', async (context) => {
+  const { address, engines } = await openStreamService(context, 1000)
   await fleetTesting.call(address, { path: '/stream/1', id: 's-1', headers: STREAM_HEADERS, leaveAfterMs: 100 })
   await fleetTesting.until(() => engines.some((engine) => engine.cancelled() > 0))
 })
 
-nodeTest.test('an engine that drains or is gone gets no new call', async (context) => {
-  const { fleet, address, engines } = await openPlain(context)
+nodeTest.test('an engine that was removed from the store gets no new calls', async (context) => {
+  const { fleet, address, engines } = await openPlainService(context)
   const [first, second] = engines as [testing.EngineStandIn, testing.EngineStandIn]
   fleet.store.remove('servers', first.id)
   await fleetTesting.until(async () => {
@@ -187,8 +187,8 @@
   assert.ok(second.arrivals.length > 0)
 })
 
-nodeTest.test('after the bound of a named version nothing goes to an older one, and callers hear when to come back', async (context) => {
-  const { fleet, address, engines } = await openStreams(context)
+nodeTest.test('after the deadline for a version change no call goes to an older version, and callers get a retry time', async (context) => {
+  const { fleet, address, engines } = await openStreamService(context)
   fleet.store.put('versions', fleetTesting.MODEL, { model: fleetTesting.MODEL, version: 2 })
   await fleetTesting.until(async () => (await fleetTesting.call(address, { path: '/stream/1', id: 's', headers: STREAM_HEADERS })).status === 503)
   const before = engines.map((engine) => engine.arrivals.length)
@@ -199,7 +199,7 @@
 })
 
 for (const down of ['busy', 'silent', 'reset'] as const) {
-  nodeTest.test(`a gateway that the store turns away follows the configuration through its peers (${down})`, async (context) => {
+  nodeTest.test(`a gateway that cannot read the store gets the configuration from its peers (${down})`, async (context) => {
     const fleet = await fleetTesting.openFleet(context)
     fleet.configure()
     await fleet.startEngine({ id: 'i-1' }, 'api')
@@ -213,8 +213,8 @@
   })
 }
 
-nodeTest.test('a change that happened while the history was dropped is found by a new list', async (context) => {
-  const { fleet, address } = await openPlain(context)
+nodeTest.test('a change that was compacted away from the watch history is found by listing again', async (context) => {
+  const { fleet, address } = await openPlainService(context)
   fleet.store.faults.deafWatches = true
   fleet.configure((configuration) => { configuration.routes = configuration.routes.filter((route) => route['name'] !== 'read') })
   fleet.store.compact()
@@ -222,21 +222,21 @@
   await fleetTesting.until(async () => (await fleetTesting.call(address, { path: '/read/1', id: 'a' })).status === 404)
 })
 
-nodeTest.test('a configuration that is not valid leaves the last good one in force', async (context) => {
-  const { fleet, address } = await openPlain(context)
+nodeTest.test('an invalid configuration leaves the last valid one in force', async (context) => {
+  const { fleet, address } = await openPlainService(context)
   fleet.store.put('config', 'main', { version: 9, routes: 'none' })
   fleet.configure()
   fleet.store.put('config', 'main', { version: 11 })
   assert.equal((await fleetTesting.call(address, { path: '/read/1', id: 'a' })).status, 200)
 })
 
-nodeTest.test('a gateway that ends refuses late calls to another one, and ends the last ones with an answer', async (context) => {
-  const { fleet, address, engines } = await openPlain(context)
+nodeTest.test('a draining gateway refuses new calls so that they go to another one, and ends its last calls with a response', async (context) => {
+  const { fleet, address, engines } = await openPlainService(context)
   const endlessMs = 600_000
   fleet.configure((configuration) => { for (const route of configuration.routes) route['timeoutMs'] = endlessMs })
   fleet.configure((configuration) => { configuration.routes.push({ ...configuration.routes[0], name: 'after', pathPrefix: '/after/' }) })
   await fleetTesting.untilServed(address, '/after/probe')
-  strike(engines, 'mute')
+  injectFault(engines, 'mute')
   const waiting = fleetTesting.call(address, { method: 'POST', path: '/write/last', id: 'w-last', headers: { 'deadline-remaining': String(endlessMs) } })
   await fleetTesting.until(() => arrivalsOf(engines, 'w-last').length > 0)
   const draining = fleet.drainGateway(HOST)
--- a/packages/daemon/src/startGatewayRole/wholeness.test.ts
+++ b/packages/daemon/src/startGatewayRole/wholeness.test.ts
@@ -1,4 +1,4 @@
-/** Requests that are no proper ones, and answers that come when they should not, over a gateway's real sockets. */
+/** Malformed and ambiguous HTTP requests (request smuggling) and message framing, sent to a gateway over real sockets. */
 import * as assert from 'node:assert/strict'
 import * as net from 'node:net'
 import * as nodeTest from 'node:test'
@@ -22,7 +22,7 @@
   return { address, engine }
 }
 
-/** Sends bytes and reads all that comes until the gateway ends the connection. */
+/** Sends text and returns all that is received until the gateway closes the connection. */
 async function sendRaw (address: types.Address, text: string): Promise<string> {
   return await new Promise((resolve) => {
     let received = ''
@@ -44,11 +44,11 @@
 const SMUGGLED = 'GET /read/smuggled HTTP/1.1\r\nHost: app.example\r\nRequest-Id: smuggled\r\n\r\n'
 
 const REFUSED_HEADS: ReadonlyArray<{ readonly name: string, readonly head: readonly string[], readonly body: string }> = [
-  { name: 'a length and chunks', head: ['Content-Length: 5', 'Transfer-Encoding: chunked'], body: `0\r\n\r\n${SMUGGLED}` },
+  { name: 'both a length and a chunked body', head: ['Content-Length: 5', 'Transfer-Encoding: chunked'], body: `0\r\n\r\n${SMUGGLED}` },
   { name: 'two lengths that differ', head: ['Content-Length: 0', `Content-Length: ${SMUGGLED.length}`], body: SMUGGLED },
   { name: 'a coding that is not chunked', head: ['Transfer-Encoding: xchunked'], body: SMUGGLED },
-  { name: 'a length that is no number', head: ['Content-Length: +5'], body: 'abcde' },
-  { name: 'a broken size of a chunk', head: ['Transfer-Encoding: chunked'], body: `zz\r\n${SMUGGLED}` }
+  { name: 'a length that is not a number', head: ['Content-Length: +5'], body: 'abcde' },
+  { name: 'an invalid chunk size', head: ['Transfer-Encoding: chunked'], body: `zz\r\n${SMUGGLED}` }
 ]
 
 for (const { name, head, body } of REFUSED_HEADS) {
@@ -62,14 +62,14 @@
   })
 }
 
-nodeTest.test('a head beyond the limit is answered 431', async (context) => {
+nodeTest.test('a request whose header exceeds the limit is answered 431', async (context) => {
   const { address, engine } = await openGateway(context)
   const received = await sendRaw(address, formatHead(['GET /read/1 HTTP/1.1', 'Host: app.example', 'Request-Id: large', `X-Large: ${'x'.repeat(20_000)}`]))
   assert.match(received, /^HTTP\/1\.1 431 /)
   assert.equal(countArrivals(engine, 'large'), 0)
 })
 
-nodeTest.test('a body in chunks reaches the engine whole, once and with a length', async (context) => {
+nodeTest.test('a chunked body reaches the engine completely, once and with a content length', async (context) => {
   const { address, engine } = await openGateway(context)
   const head = formatHead(['POST /write/1 HTTP/1.1', 'Host: app.example', 'Request-Id: chunked', 'Connection: close', 'Transfer-Encoding: chunked'])
   const received = await sendRaw(address, `${head}3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n`)
@@ -80,7 +80,7 @@
   assert.equal(arrival?.headers['transfer-encoding'], undefined)
 })
 
-nodeTest.test('two requests sent at once on a connection get their own answers, in order', async (context) => {
+nodeTest.test('two pipelined requests get their own responses, in order', async (context) => {
   const { address, engine } = await openGateway(context)
   const first = formatHead(['GET /read/1 HTTP/1.1', 'Host: app.example', 'Request-Id: first'])
   const second = formatHead(['GET /read/2 HTTP/1.1', 'Host: app.example', 'Request-Id: second', 'Connection: close'])
@@ -90,7 +90,7 @@
   assert.equal(countArrivals(engine, 'first') + countArrivals(engine, 'second'), 2)
 })
 
-nodeTest.test('a caller that ends in the middle of its body reaches no engine', async (context) => {
+nodeTest.test('a request whose body is cut off reaches no engine', async (context) => {
   const { address, engine } = await openGateway(context)
   const head = formatHead(['POST /write/1 HTTP/1.1', 'Host: app.example', 'Request-Id: cut', 'Content-Length: 100'])
   await new Promise<void>((resolve) => {
