--- a/packages/daemon/src/createFleetExchange/facts.test.ts
+++ b/packages/daemon/src/createFleetExchange/facts.test.ts
@@ -53,11 +53,11 @@
   const fleet = await openFleet(context)
   fleet.gateways[3]?.tell('fact')
   await fleet.pass(1000)
-  const again = fleet.gateways[30] as simulatedFleet.SimulatedDaemon
-  again.stop()
+  const restarted = fleet.gateways[30] as simulatedFleet.SimulatedDaemon
+  restarted.stop()
   await fleet.pass(500)
-  await again.start()
-  const tookMs = await fleet.passUntil(() => again.heard.has('fact'), CONTACT_MS)
+  await restarted.start()
+  const tookMs = await fleet.passUntil(() => restarted.heard.has('fact'), CONTACT_MS)
   context.diagnostic(`${tookMs} ms`)
   assert.ok(tookMs <= CONTACT_MS, `known after ${tookMs} ms`)
 })
--- a/packages/daemon/src/startAgentRole/index.ts
+++ b/packages/daemon/src/startAgentRole/index.ts
@@ -63,7 +63,7 @@
   let isPaused = false
   let changesInMs: number | null = null
   let isLeaving = false
-  let lastUnreadable = ''
+  let lastReportError = ''
   let stager: staging.Stager | null = null
   const suspectUntil = new Map<types.NodeId, number>()
 
@@ -93,8 +93,8 @@
   /** Counts every report that can't be parsed, and logs an error only when it differs from the previous one. */
   function logUnreadableReport ({ message }: types.InvalidInputError): void {
     metrics.count('engine_reports_unreadable')
-    if (message === lastUnreadable) return
-    lastUnreadable = message
+    if (message === lastReportError) return
+    lastReportError = message
     logger.error('engine-report-unreadable', { address: engineAddress, error: message })
   }
 
--- a/packages/daemon/src/startEntryRole/lethal.test.ts
+++ b/packages/daemon/src/startEntryRole/lethal.test.ts
@@ -119,10 +119,10 @@
       const role = started[index] as startDaemon.RunningRole
       roles.splice(roles.indexOf(role), 1)
       role.stop()
-      const again = await startEntry(index, role.address.port)
-      await waitUntil(async () => (await got.got.get(`http://${HOST}:${again.callerAddress?.port ?? 0}/health`, { retry: { limit: 0 }, throwHttpErrors: false })).statusCode === OK)
-      await waitUntil(async () => await readCount(again, 'quarantine.blocked') > 0)
-      return formatBase(again)
+      const restarted = await startEntry(index, role.address.port)
+      await waitUntil(async () => (await got.got.get(`http://${HOST}:${restarted.callerAddress?.port ?? 0}/health`, { retry: { limit: 0 }, throwHttpErrors: false })).statusCode === OK)
+      await waitUntil(async () => await readCount(restarted, 'quarantine.blocked') > 0)
+      return formatBase(restarted)
     },
     countStoredBlocks: async () => {
       const listed = await objectStore.list('blocks', '', BACKENDS)
@@ -147,8 +147,8 @@
 nodeTest.test('an entry node that restarts gets the blocked calls from the others', async (context) => {
   const { entries, ask, countEnded, restartEntry } = await openHall(context, 2)
   for (let index = 0; index < BLOCK_THRESHOLD; index += 1) await ask(entries[0] as string, LETHAL_PATH)
-  const again = await restartEntry(1)
-  assert.equal((await ask(again, LETHAL_PATH)).status, NOT_RUN)
+  const restarted = await restartEntry(1)
+  assert.equal((await ask(restarted, LETHAL_PATH)).status, NOT_RUN)
   assert.equal(countEnded(), BLOCK_THRESHOLD)
 })
 
@@ -156,7 +156,7 @@
   const { entries, ask, countEnded, countStoredBlocks, restartEntry } = await openHall(context, 1)
   for (let index = 0; index < BLOCK_THRESHOLD; index += 1) await ask(entries[0] as string, LETHAL_PATH)
   await waitUntil(async () => await countStoredBlocks() > 0)
-  const again = await restartEntry(0)
-  assert.equal((await ask(again, LETHAL_PATH)).reason, 'blocked')
+  const restarted = await restartEntry(0)
+  assert.equal((await ask(restarted, LETHAL_PATH)).reason, 'blocked')
   assert.equal(countEnded(), BLOCK_THRESHOLD)
 })
--- a/packages/daemon/src/startGatewayRole/lethal.test.ts
+++ b/packages/daemon/src/startGatewayRole/lethal.test.ts
@@ -70,7 +70,7 @@
   assert.equal((await send(gateway as types.Address, 'other', '/stream/other')).status, OK)
 })
 
-nodeTest.test('gateways share which engines a call ended before it arrives at the next gateway', async (context) => {
+nodeTest.test('a gateway knows which engines a call has ended before that call arrives at it', async (context) => {
   const { fleet, gateways, engines } = await openLethalFleet(context, 3)
   for (const [index, gateway] of [...gateways, ...gateways, ...gateways].entries()) {
     await send(gateway, `lethal-${index}`, LETHAL_PATH)
@@ -86,10 +86,10 @@
   for (let index = 0; index < 3; index += 1) await send(first, `lethal-${index}`, LETHAL_PATH)
   assert.equal(countEnded(engines), BLOCK_THRESHOLD)
   fleet.stopGateway(second.host)
-  const again = await fleet.startGateway(second.host, [HOSTS[0]])
+  const restarted = await fleet.startGateway(second.host, [HOSTS[0]])
   await fleet.untilReady(second.host)
   await fleet.untilBlocked()
-  assert.equal((await send(again, 'lethal-again', LETHAL_PATH)).status, SERVICE_UNAVAILABLE)
+  assert.equal((await send(restarted, 'lethal-again', LETHAL_PATH)).status, SERVICE_UNAVAILABLE)
   assert.equal(countEnded(engines), BLOCK_THRESHOLD)
 })
 
@@ -98,10 +98,10 @@
   for (let index = 0; index < 3; index += 1) await send(gateway as types.Address, `lethal-${index}`, LETHAL_PATH)
   await fleetTesting.until(() => fleet.store.calls.write > 0)
   fleet.stopGateway(HOSTS[0])
-  const again = await fleet.startGateway(HOSTS[0])
+  const restarted = await fleet.startGateway(HOSTS[0])
   await fleet.untilReady(HOSTS[0])
   await fleet.untilBlocked()
-  assert.equal((await send(again, 'lethal-again', LETHAL_PATH)).status, SERVICE_UNAVAILABLE)
+  assert.equal((await send(restarted, 'lethal-again', LETHAL_PATH)).status, SERVICE_UNAVAILABLE)
   assert.equal(countEnded(engines), BLOCK_THRESHOLD)
 })
 
