--- a/packages/staging/src/_lib/playPaused.ts
+++ b/packages/staging/src/_lib/simulateOnMockTimers.ts
@@ -11,7 +11,7 @@
  * @param options - The fleet.
  * @returns What came of it.
  */
-export async function playPaused (context: nodeTest.TestContext, options: stagingFleet.PlayOptions): Promise<stagingFleet.PlayResult> {
+export async function simulateOnMockTimers (context: nodeTest.TestContext, options: stagingFleet.PlayOptions): Promise<stagingFleet.PlayResult> {
   context.mock.timers.enable({ apis: ['setTimeout', 'setInterval', 'Date'], now: START })
   const result = await stagingFleet.playVersion(async () => {
     context.mock.timers.tick(1)
--- a/packages/staging/src/dealPieces/index.ts
+++ b/packages/staging/src/assignPieces/index.ts
@@ -31,7 +31,7 @@
  * @param expectedZones - Zones that are counted on although nobody of them may be known yet.
  * @returns This agent's plan for each piece, in order.
  */
-export function dealPieces (key: string, pieces: number, self: staging.StagingPeer, agents: readonly staging.StagingPeer[], expectedZones: readonly string[] = []): ProviderPlan[] {
+export function assignPieces (key: string, pieces: number, self: staging.StagingPeer, agents: readonly staging.StagingPeer[], expectedZones: readonly string[] = []): ProviderPlan[] {
   const zones = [...new Set([...expectedZones, ...agents.map((agent) => agent.zone)])].sort()
   const zoneCap = Math.ceil(pieces / zones.length)
   const inZone = agents.filter((agent) => agent.zone === self.zone)
--- a/packages/staging/src/dealPieces/test.ts
+++ b/packages/staging/src/assignPieces/test.ts
@@ -1,7 +1,7 @@
 import * as assert from 'node:assert/strict'
 import * as nodeTest from 'node:test'
 import * as types from '@switchridge/types'
-import * as dealPieces from './index.js'
+import * as assignPieces from './index.js'
 import type * as staging from '../types/index.js'
 
 const PIECES = 96
@@ -14,7 +14,7 @@
 
 nodeTest.test('every piece has one reader, one importer in each other zone, and a provider that obtains it', () => {
   const agents = createAgents({ a: 6, b: 4, c: 5 })
-  const plans = new Map(agents.map((agent) => [agent.node, dealPieces.dealPieces('m/2', PIECES, agent, agents)]))
+  const plans = new Map(agents.map((agent) => [agent.node, assignPieces.assignPieces('m/2', PIECES, agent, agents)]))
   for (let piece = 0; piece < PIECES; piece += 1) {
     const parts = agents.map((agent) => ({ agent, plan: plans.get(agent.node)?.[piece] }))
     assert.equal(parts.filter(({ plan }) => plan?.part === 'reader').length, 1)
@@ -30,7 +30,7 @@
 nodeTest.test('no agent has to pass on much more than another', () => {
   const agents = createAgents({ a: 5, b: 5, c: 5 })
   for (const agent of agents) {
-    const plan = dealPieces.dealPieces('m/3', PIECES, agent, agents)
+    const plan = assignPieces.assignPieces('m/3', PIECES, agent, agents)
     const reads = plan.filter(({ part }) => part === 'reader').length
     const provides = plan.filter(({ part }) => part !== 'member').length
     assert.ok(reads <= 7, `${agent.node} reads ${reads}`)
@@ -40,14 +40,14 @@
 
 nodeTest.test('an agent that is alone reads everything', () => {
   const [agent] = createAgents({ a: 1 })
-  const plan = dealPieces.dealPieces('m/1', PIECES, agent as staging.StagingPeer, [agent as staging.StagingPeer])
+  const plan = assignPieces.assignPieces('m/1', PIECES, agent as staging.StagingPeer, [agent as staging.StagingPeer])
   assert.ok(plan.every(({ part }) => part === 'reader'))
 })
 
 nodeTest.test('few agents of a large fleet read the origin, and none passes on much more than another', () => {
   const agents = createAgents({ a: 30, b: 28, c: 27 })
-  const plans = agents.map((agent) => dealPieces.dealPieces('m/4', PIECES, agent, agents))
-  assert.ok(plans.filter((plan) => plan.some(({ part }) => part === 'reader')).length <= dealPieces.MAXIMUM_READERS)
+  const plans = agents.map((agent) => assignPieces.assignPieces('m/4', PIECES, agent, agents))
+  assert.ok(plans.filter((plan) => plan.some(({ part }) => part === 'reader')).length <= assignPieces.MAXIMUM_READERS)
   for (const plan of plans) assert.ok(plan.filter(({ part }) => part !== 'member').length <= 8)
 })
 
@@ -57,7 +57,7 @@
   const readAlone = new Map<number, string>()
   for (const agent of agents) {
     const known = agents.filter((each) => each.zone === agent.zone)
-    const plan = dealPieces.dealPieces('m/5', PIECES, agent, known, zones)
+    const plan = assignPieces.assignPieces('m/5', PIECES, agent, known, zones)
     plan.forEach(({ part }, piece) => {
       if (part !== 'reader') return
       assert.equal(readAlone.has(piece), false)
@@ -67,13 +67,13 @@
   }
   assert.equal(readAlone.size, PIECES)
   for (const agent of agents) {
-    const plan = dealPieces.dealPieces('m/5', PIECES, agent, agents, zones)
+    const plan = assignPieces.assignPieces('m/5', PIECES, agent, agents, zones)
     plan.forEach(({ part }, piece) => { if (part === 'reader') assert.equal(readAlone.get(piece), agent.node) })
   }
 })
 
 nodeTest.test('a zone that is not counted on and of which nobody is known reads nothing', () => {
   const agents = createAgents({ a: 4, b: 4 })
-  const read = agents.flatMap((agent) => dealPieces.dealPieces('m/6', PIECES, agent, agents)).filter(({ part }) => part === 'reader')
+  const read = agents.flatMap((agent) => assignPieces.assignPieces('m/6', PIECES, agent, agents)).filter(({ part }) => part === 'reader')
   assert.equal(read.length, PIECES)
 })
--- a/packages/staging/src/atSize.test.ts
+++ b/packages/staging/src/atSize.test.ts
@@ -13,7 +13,7 @@
  */
 import * as assert from 'node:assert/strict'
 import * as nodeTest from 'node:test'
-import * as playPaused from './_lib/playPaused.js'
+import * as simulateOnMockTimers from './_lib/simulateOnMockTimers.js'
 import type * as stagingFleet from './_lib/stagingFleet.js'
 
 /**
@@ -46,13 +46,13 @@
 
 nodeTest.test('45 agents are whole in 1.5 times what bytes alone need, and a piece crosses into a region once', async (context) => {
   for (const options of [{ agents: 45 }, { agents: 45, startMs: 300 }, { agents: 45, linkPart: 0.6 }, { agents: 45, originLink: NARROW_ORIGIN }]) {
-    check(await playPaused.playPaused(context, options), options)
+    check(await simulateOnMockTimers.simulateOnMockTimers(context, options), options)
   }
 })
 
 nodeTest.test('two agents that lose power, or whose links are squeezed, do not hold up 30 others', async (context) => {
   for (const options of [{ agents: 30, dying: 2 }, { agents: 30, squeezed: 2 }]) {
-    check(await playPaused.playPaused(context, options), options)
+    check(await simulateOnMockTimers.simulateOnMockTimers(context, options), options)
   }
 })
 
@@ -66,7 +66,7 @@
 nodeTest.test('45 agents that return at once do not shut each other out at an origin that refuses beyond its bound', async (context) => {
   for (const originConnections of [48, 32, 16]) {
     const options = { agents: 45, startMs: 300, apartMs: 1800, originConnections }
-    const result = await playPaused.playPaused(context, options)
+    const result = await simulateOnMockTimers.simulateOnMockTimers(context, options)
     context.diagnostic(`${originConnections} connections: ${JSON.stringify(result)}`)
     assert.ok(result.lastMs <= RETURN_MS, `${originConnections} connections: ${JSON.stringify(result)}`)
     assert.ok(result.originCopies <= RETURN_COPIES, `${originConnections} connections: ${JSON.stringify(result)}`)
@@ -80,7 +80,7 @@
  */
 nodeTest.test('agents go on at once when the origin comes back', async (context) => {
   for (const agents of [15, 45]) {
-    const result = await playPaused.playPaused(context, { agents, outage: OUTAGE })
+    const result = await simulateOnMockTimers.simulateOnMockTimers(context, { agents, outage: OUTAGE })
     context.diagnostic(`${agents} agents: whole ${result.medianMs} to ${result.lastMs} ms after the naming, ${result.originAsked} requests to the origin`)
     assert.ok(result.lastMs <= OUTAGE.untilMs + AFTER_OUTAGE_MS * LIMIT_RATIO, JSON.stringify(result))
     assert.ok(result.originCopies <= ORIGIN_COPIES, JSON.stringify(result))
--- a/packages/staging/src/createPieceFetcher/index.ts
+++ b/packages/staging/src/createPieceFetcher/index.ts
@@ -2,7 +2,7 @@
 import * as types from '@switchridge/types'
 import type * as createPieceStore from '../createPieceStore/index.js'
 import type * as createReceiveWindow from '../createReceiveWindow/index.js'
-import * as dealPieces from '../dealPieces/index.js'
+import * as assignPieces from '../assignPieces/index.js'
 import * as originReads from '../_lib/originReads.js'
 import * as peerRequests from '../_lib/peerRequests.js'
 import * as staging from '../types/index.js'
@@ -125,7 +125,7 @@
     onSlow: (node) => { if ((suspectUntil.get(node) ?? 0) <= options.now()) suspect(node) },
     onEnd: tick
   })
-  let plans: readonly dealPieces.ProviderPlan[] = []
+  let plans: readonly assignPieces.ProviderPlan[] = []
   let agents: readonly staging.StagingPeer[] = []
   let countedZones = 0
   let plannedAt = -Infinity
@@ -144,7 +144,7 @@
     if (isSame(next, agents) && zones.length === countedZones) return
     agents = next
     countedZones = zones.length
-    plans = dealPieces.dealPieces(key, digests.length, self, agents, zones)
+    plans = assignPieces.assignPieces(key, digests.length, self, agents, zones)
   }
 
   /** Since when pieces are taken from peers, too. */
--- a/packages/staging/src/createStager/index.ts
+++ b/packages/staging/src/createStager/index.ts
@@ -6,7 +6,7 @@
 import * as createPieceFetcher from '../createPieceFetcher/index.js'
 import * as createPieceStore from '../createPieceStore/index.js'
 import * as createReceiveWindow from '../createReceiveWindow/index.js'
-import * as planVersions from '../planVersions/index.js'
+import * as selectVersion from '../selectVersion/index.js'
 import * as offerPieces from '../_lib/offerPieces.js'
 import * as orderVersion from '../_lib/orderVersion.js'
 import * as writeStage from '../writeStage/index.js'
@@ -159,7 +159,7 @@
 
   function planFetch (state: staging.EngineState, named: readonly staging.NamedVersion[]): void {
     const newestWhole = named.findLast((each) => progressOf(each.id.version) === 1)?.id.version ?? 0
-    const target = planVersions.planVersions({ held: Math.max(state.held, newestWhole), notBelow, named, progressOf, wholeMs: options.wholeMs, now: options.now() })
+    const target = selectVersion.selectVersion({ held: Math.max(state.held, newestWhole), notBelow, named, progressOf, wholeMs: options.wholeMs, now: options.now() })
     if (target === null) {
       endFetch()
       return
--- a/packages/staging/src/links.test.ts
+++ b/packages/staging/src/links.test.ts
@@ -1,7 +1,7 @@
 /** Calls to engines share the links over which their agents fetch weights. */
 import * as assert from 'node:assert/strict'
 import * as nodeTest from 'node:test'
-import * as playPaused from './_lib/playPaused.js'
+import * as simulateOnMockTimers from './_lib/simulateOnMockTimers.js'
 
 const AGENTS = 12
 /** Bytes a millisecond of 0.3, 0.9, 2 and 5 Mbit/s. */
@@ -25,7 +25,7 @@
     const limitMs = CALL_MS + pieceMs
     const changeLimitMs = CALL_MS + UNDER_WAY_PIECES * pieceMs
     for (const atMs of NARROW_AT_MS) {
-      const { calls, medianMs, lastMs } = await playPaused.playPaused(context, { agents: AGENTS, narrowing: { agents: 2, atMs, bytesPerMs }, maximumMs: MAXIMUM_MS })
+      const { calls, medianMs, lastMs } = await simulateOnMockTimers.simulateOnMockTimers(context, { agents: AGENTS, narrowing: { agents: 2, atMs, bytesPerMs }, maximumMs: MAXIMUM_MS })
       const settledAt = atMs + UNDER_WAY_PIECES * pieceMs
       const longestMs = Math.max(0, ...calls.map(({ tookMs }) => tookMs))
       const settledMs = Math.max(0, ...calls.filter(({ sentMs }) => sentMs < atMs || sentMs >= settledAt).map(({ tookMs }) => tookMs))
@@ -39,9 +39,9 @@
 
 /** Narrow agents read, bring and pass on a part of the pieces, which all others have to wait for. */
 nodeTest.test('agents with narrow links do not hold up the others', async (context) => {
-  const whole = await playPaused.playPaused(context, { agents: AGENTS })
+  const whole = await simulateOnMockTimers.simulateOnMockTimers(context, { agents: AGENTS })
   for (const bytesPerMs of NARROW_RATES) {
-    const { lastMs } = await playPaused.playPaused(context, { agents: AGENTS, narrowing: { agents: 2, atMs: 700, bytesPerMs }, maximumMs: MAXIMUM_MS })
+    const { lastMs } = await simulateOnMockTimers.simulateOnMockTimers(context, { agents: AGENTS, narrowing: { agents: 2, atMs: 700, bytesPerMs }, maximumMs: MAXIMUM_MS })
     assert.ok(lastMs <= HELD_UP_FACTOR * whole.lastMs, `${bytesPerMs} bytes a millisecond: ${lastMs} ms, without them ${whole.lastMs} ms`)
   }
 })
--- a/packages/staging/src/planVersions/index.ts
+++ b/packages/staging/src/selectVersion/index.ts
@@ -27,7 +27,7 @@
  * @param input - Versions, progress and time.
  * @returns The version to fetch, or null when the engine has the newest one.
  */
-export function planVersions (input: VersionPlanInput): staging.NamedVersion | null {
+export function selectVersion (input: VersionPlanInput): staging.NamedVersion | null {
   const wanted = input.named
     .filter((named) => named.id.version > input.held && named.id.version >= input.notBelow)
     .sort((left, right) => left.id.version - right.id.version)
--- a/packages/staging/src/planVersions/test.ts
+++ b/packages/staging/src/selectVersion/test.ts
@@ -1,6 +1,6 @@
 import * as assert from 'node:assert/strict'
 import * as nodeTest from 'node:test'
-import * as planVersions from './index.js'
+import * as selectVersion from './index.js'
 import type * as staging from '../types/index.js'
 
 const WHOLE_MS = 4500
@@ -10,7 +10,7 @@
 }
 
 function plan (now: number, held: number, named: readonly staging.NamedVersion[], progress: Readonly<Record<number, number>> = {}, notBelow = 0): number | null {
-  return planVersions.planVersions({ held, notBelow, named, progressOf: (version) => progress[version] ?? 0, wholeMs: WHOLE_MS, now })?.id.version ?? null
+  return selectVersion.selectVersion({ held, notBelow, named, progressOf: (version) => progress[version] ?? 0, wholeMs: WHOLE_MS, now })?.id.version ?? null
 }
 
 nodeTest.test('a version that is held needs no fetching, and an empty engine takes the newest', () => {
