--- a/packages/gateway/src/_lib/admitCall.ts
+++ b/packages/gateway/src/_lib/admitCall.ts
@@ -1,39 +1,39 @@
-/** Puts the question of admission for one call, with what its gateway knows at this moment. */
+/** Decides whether a call is admitted, from what the gateway currently knows. */
 import type * as chooseBackEnd from '../chooseBackEnd/index.js'
 import * as decideAdmission from '../decideAdmission/index.js'
 import type * as callOptions from './callOptions.js'
 import * as callState from './callState.js'
 
-/** Taken, or refused with the figures that decided it. */
+/** Admitted, or refused with the figures behind the decision. */
 export type CallAdmission =
-  | { readonly isTaken: true }
-  /** `withinMs`: milliseconds within which the first event would be in time. */
-  | { readonly isTaken: false, readonly retryAfterMs: number, readonly withinMs: number, readonly reason: string }
+  | { readonly isAdmitted: true }
+  /** `withinMs`: milliseconds within which the first event would still be in time. */
+  | { readonly isAdmitted: false, readonly retryAfterMs: number, readonly withinMs: number, readonly reason: string }
 
 /**
- * Decides whether a call is taken for the best back end.
+ * Decides whether a call is admitted to the best back end.
  *
  * @param call - The call, before its first attempt.
  * @param choice - The best back end.
- * @param takenPart - Part of all places that is taken.
- * @param options - What the gateway learned, clock and chance.
+ * @param utilization - Occupied fraction of the slots of all back ends that may serve.
+ * @param options - Prediction errors, shared targets, clock and random numbers.
  * @returns The decision.
  */
-export function admitCall (call: callState.CallState, choice: chooseBackEnd.Choice, takenPart: number, options: Pick<callOptions.CallHandlerOptions, 'errorsOf' | 'sharedTargetOf' | 'now' | 'random'>): CallAdmission {
+export function admitCall (call: callState.CallState, choice: chooseBackEnd.Choice, utilization: number, options: Pick<callOptions.CallHandlerOptions, 'errorsOf' | 'sharedTargetOf' | 'now' | 'random'>): CallAdmission {
   const input = {
-    firstEventMs: choice.evenedFirstEventMs,
-    waitingBefore: choice.waitingBefore,
-    takenPart,
+    firstEventMs: choice.discountedFirstEventMs,
+    queuedAhead: choice.queuedAhead,
+    utilization,
     errorMs: options.errorsOf(call.service).read(),
     targetMs: options.sharedTargetOf({ service: call.service, priority: call.route.priority, targetMs: call.route.targetMs }),
-    spentMs: callState.readSpentMs(call, options.now()),
+    elapsedMs: callState.readElapsedMs(call, options.now()),
     remainingMs: call.deadline.remainingMs(),
     random: options.random()
   }
   const admission = decideAdmission.decideAdmission(input)
-  return admission.isTaken ? admission : { ...admission, withinMs: input.targetMs - input.spentMs, reason: describe(input) }
+  return admission.isAdmitted ? admission : { ...admission, withinMs: input.targetMs - input.elapsedMs, reason: describe(input) }
 }
 
-function describe ({ firstEventMs, errorMs, targetMs, takenPart }: decideAdmission.AdmissionInput): string {
-  return `first event in ${Math.round(firstEventMs)} ms, lately up to ${Math.round(errorMs)} ms later, target ${Math.round(targetMs)} ms, ${takenPart.toFixed(2)} of all places taken`
+function describe ({ firstEventMs, errorMs, targetMs, utilization }: decideAdmission.AdmissionInput): string {
+  return `first event in ${Math.round(firstEventMs)} ms, lately up to ${Math.round(errorMs)} ms later, target ${Math.round(targetMs)} ms, ${utilization.toFixed(2)} of all places taken`
 }
--- a/packages/gateway/src/_lib/answers.ts
+++ b/packages/gateway/src/_lib/answers.ts
@@ -1,67 +1,67 @@
-/** Writes the answers of a call: a back end's, or one of the gateway's own. */
+/** Writes the response to a call: a back end's, or one of the gateway itself. */
 import type * as http from 'node:http'
 import type * as callOptions from './callOptions.js'
 
-/** The answer to one request. */
+/** The response to one request. */
 export interface Reply {
-  /** Ends with an answer of the gateway's own; `retryAfterMs` tells when to come back. */
+  /** Sends a final response of the gateway itself; `retryAfterMs` tells the caller when to retry. */
   readonly refuse: (status: number, reason: string, retryAfterMs: number | null) => void
-  /** Sends a back end's whole answer; one that did not tell its own end does not here either. */
-  readonly sendWhole: (status: number, headers: readonly string[], body: Buffer, isFramed: boolean) => void
+  /** Sends a complete response of a back end. If the back end's response had no HTTP framing, neither has this one. */
+  readonly sendBuffered: (status: number, headers: readonly string[], body: Buffer, isFramed: boolean) => void
   readonly beginStream: (status: number, headers: readonly string[], isFramed: boolean) => void
-  /** Sends bytes of a stream; false when the caller reads too slowly. */
+  /** Sends bytes of a stream; false if the caller reads too slowly. */
   readonly write: (bytes: Buffer) => boolean
   readonly onDrain: (resume: () => void) => void
   readonly endStream: () => void
-  /** Breaks the connection, so that a short answer never looks complete. */
-  readonly breakOff: () => void
-  readonly hasBegun: () => boolean
+  /** Destroys the connection, so that a truncated response never looks complete. */
+  readonly abort: () => void
+  readonly hasStarted: () => boolean
 }
 
 /**
  * Creates the reply to a request.
  *
- * @param response - Where it is written.
- * @param requestId - Id that answers give back.
+ * @param response - The HTTP response to write to.
+ * @param requestId - Request id to include in responses.
  * @param protocol - Formats headers.
- * @param isLeaving - Whether the caller shall leave the connection.
+ * @param isDraining - Whether callers are asked to close their connections.
  * @returns The reply.
  */
-export function createReply (response: http.ServerResponse, requestId: string, protocol: callOptions.CallProtocol, isLeaving: () => boolean): Reply {
+export function createReply (response: http.ServerResponse, requestId: string, protocol: callOptions.CallProtocol, isDraining: () => boolean): Reply {
   function writeHead (status: number, headers: readonly string[]): void {
     response.sendDate = false
-    if (isLeaving()) response.shouldKeepAlive = false
+    if (isDraining()) response.shouldKeepAlive = false
     response.writeHead(status, headers as string[])
   }
 
-  /** The answer ends with its connection, without a length and without chunks. */
-  function leaveUnframed (): void {
+  /** Ends the response by closing the connection, without a length or chunked encoding. */
+  function endByClosing (): void {
     response.useChunkedEncodingByDefault = false
     response.shouldKeepAlive = false
   }
 
   return {
-    hasBegun: () => response.headersSent,
+    hasStarted: () => response.headersSent,
     refuse: (status, reason, retryAfterMs) => {
       if (response.headersSent || response.destroyed) return
       const body = Buffer.from(`${reason}\n`)
       writeHead(status, [...protocol.formatOwnAnswer(requestId, retryAfterMs), 'Content-Type', 'text/plain', 'Content-Length', String(body.length)])
       response.end(body)
     },
-    sendWhole: (status, headers, body, isFramed) => {
+    sendBuffered: (status, headers, body, isFramed) => {
       if (response.destroyed) return
-      if (!isFramed) leaveUnframed()
+      if (!isFramed) endByClosing()
       writeHead(status, isFramed ? [...headers, 'Content-Length', String(body.length)] : headers)
       response.end(body)
     },
     beginStream: (status, headers, isFramed) => {
       if (response.destroyed) return
-      if (!isFramed) leaveUnframed()
+      if (!isFramed) endByClosing()
       writeHead(status, headers)
     },
     write: (bytes) => response.write(bytes),
     onDrain: (resume) => { response.once('drain', resume) },
     endStream: () => { response.end() },
-    breakOff: () => { response.destroy() }
+    abort: () => { response.destroy() }
   }
 }
--- a/packages/gateway/src/_lib/callOptions.ts
+++ b/packages/gateway/src/_lib/callOptions.ts
@@ -1,4 +1,4 @@
-/** What the request path is given: the wire's form, configuration, decisions and clock. */
+/** Dependencies of the request path: protocol, configuration, decisions and clock. */
 import type * as http from 'node:http'
 import type * as clock from '@switchridge/clock'
 import type * as observability from '@switchridge/observability'
@@ -15,29 +15,29 @@
 import type * as reservers from '../types/reserver.js'
 import type * as gateway from '../types/index.js'
 
-/** How calls and attempts look on the wire; the adapter of a platform gives it. */
+/** How calls and attempts are encoded in HTTP; provided by the platform's adapter. */
 export interface CallProtocol {
   readonly readCall: (request: http.IncomingMessage) => gateway.CallHead
-  /** Headers of an attempt, names and values in turn. */
+  /** Headers of an attempt, as alternating names and values. */
   readonly formatAttempt: (call: gateway.CallHead, attempt: gateway.AttemptHead) => string[]
   readonly readAnswer: (response: http.IncomingMessage, requestId: string) => gateway.AnswerHead
-  /** What the answer of a back end says of the rate that it takes. */
+  /** Rate limit that a back end's response advertises. */
   readonly readNamedRate: (response: http.IncomingMessage) => rateLimits.NamedRate
-  /** Headers of an answer of this gateway's own. */
+  /** Headers of a response of the gateway itself. */
   readonly formatOwnAnswer: (requestId: string, retryAfterMs: number | null) => string[]
 }
 
 /** Options of the handler of callers' requests. */
 export interface CallHandlerOptions {
   readonly protocol: CallProtocol
-  /** The configuration in force, or null before the first one. */
+  /** The current configuration, or null before the first one. */
   readonly routes: () => createRouteTable.RouteTable | null
   readonly book: createBackEndBook.BackEndBook
   readonly choose: (choice: CallChoice) => chooseBackEnd.ChoiceOutcome
   readonly budgetOf: (service: types.ServiceName) => createRetryBudget.RetryBudget
-  /** How much later than predicted calls of a service lately began. */
+  /** How much later than predicted recent calls of a service began. */
   readonly errorsOf: (service: types.ServiceName) => createErrorBound.ErrorBound
-  /** Notes a call; returns the milliseconds by which calls that compete with it are admitted alike. */
+  /** Records a call; returns the target in milliseconds by which it and the calls that compete with it are admitted. */
   readonly sharedTargetOf: createSharedTargets.SharedTargets['note']
   readonly guard: guards.CallGuard
   readonly limiter: limiters.RateLimiter
@@ -45,26 +45,26 @@
   readonly logger: observability.Logger
   readonly count: (name: string, labels?: Readonly<Record<string, string>>) => void
   readonly observe: (name: string, milliseconds: number) => void
-  /** Steady clock in milliseconds. */
+  /** Monotonic clock in milliseconds. */
   readonly now: () => number
-  /** Calls an action at a time of the clock. */
+  /** Schedules an action at a time of the monotonic clock. */
   readonly at: clock.AtTime
   readonly random: () => number
 }
 
-/** What a choice for one call needs beyond what the gateway knows. */
+/** Properties of a call that the choice of a back end needs. */
 export interface CallChoice {
   readonly service: types.ServiceName
   readonly model: string | null
   readonly promptTokens: number
   readonly answerTokens: number
-  /** Milliseconds until the call must end. */
+  /** Milliseconds until the call's deadline. */
   readonly remainingMs: number
   readonly tried: ReadonlySet<types.NodeId>
-  /** Whether a permit of a back end with a limit may be asked for. */
+  /** Whether a rate-limit permit may be requested. */
   readonly mayAsk: boolean
-  /** Whether the answer can no longer be in time: permits go to calls whose answers can be. */
+  /** Whether the call can no longer be answered in time; permits go to calls that can. */
   readonly isLate: boolean
-  /** Only this version will do; null for any that may serve. */
+  /** The only version of the weights that may serve the call; null for any permitted version. */
   readonly version: number | null
 }
--- a/packages/gateway/src/_lib/callState.ts
+++ b/packages/gateway/src/_lib/callState.ts
@@ -1,14 +1,14 @@
-/** The state of one call while it is being served. */
+/** State of one call while it is served. */
 import * as quarantine from '@switchridge/quarantine'
 import type * as types from '@switchridge/types'
 import type * as gateway from '../types/index.js'
 import type * as deadlines from './deadline.js'
 
-/** Milliseconds after which a caller may come back to a gateway that knows no configuration yet. */
-export const UNREADY_RETRY_MS = 300
+/** Milliseconds after which a caller may retry if the gateway has no configuration yet. */
+export const NO_CONFIGURATION_RETRY_MS = 300
 
 /** What is known of a call before its first attempt. */
-export interface CallFacts {
+export interface CallDetails {
   readonly head: gateway.CallHead
   readonly route: gateway.Route
   readonly tenant: types.AccountId | null
@@ -18,105 +18,105 @@
   readonly receivedAt: number
 }
 
-/** A call. */
-export interface CallState extends CallFacts {
+/** A call in progress. */
+export interface CallState extends CallDetails {
   /** Back ends that the call was sent to. */
   readonly tried: Set<types.NodeId>
-  /** Attempts that reached a back end. */
+  /** Number of attempts that reached a back end. */
   attempts: number
   /** Whether a back end may have begun to run the call. */
   mayHaveRun: boolean
-  /** Milliseconds that the first choice predicted until the first event; null before a choice. */
+  /** Milliseconds until the first event that the first choice predicted; null before a choice. */
   predictedMs: number | null
-  /** Monotonic time in milliseconds of the first event, or of an answer that is no stream. */
+  /** Monotonic time in milliseconds of the first event, or of a response that is not a stream. */
   firstEventAt: number | null
-  readonly hasLeft: () => boolean
-  /** Whether the call's time is over, or its gateway ends. */
+  readonly isCallerGone: () => boolean
+  /** Whether the call's deadline has passed, or its gateway is shutting down. */
   readonly isExpired: () => boolean
-  /** Ends the attempt under way, so that the call gets its final answer now. */
+  /** Aborts the current attempt, so that the call gets its final response now. */
   readonly expire: () => void
-  /** Notes that the caller is gone; ends the attempt under way. */
-  readonly leave: () => void
-  /** Registers what ends the attempt under way; replaces the one before. */
-  readonly onEnd: (end: () => void) => void
-  /** Whether the attempt under way has brought anything of an answer. */
-  hasBegun: boolean
-  /** Ends the attempt under way if it has not begun, since the call may run nowhere. */
-  readonly takeBack: () => void
-  readonly isTakenBack: () => boolean
+  /** Records that the caller disconnected, and aborts the current attempt. */
+  readonly noteCallerGone: () => void
+  /** Sets the function that aborts the current attempt, in place of that of the attempt before. */
+  readonly setAbortAttempt: (end: () => void) => void
+  /** Whether any part of the response to the current attempt has arrived. */
+  hasAttemptResponded: boolean
+  /** Aborts the current attempt if nothing of its response has arrived, because the call is now blocked everywhere. */
+  readonly withdraw: () => void
+  readonly isWithdrawn: () => boolean
   /** Whether the call may run more than once. */
   readonly isRepeatable: boolean
-  /** What the call has in common with others that ask for the same thing; worked out when it is first asked for. */
+  /** Fingerprint shared by calls that ask for the same thing; computed on first use. */
   readonly fingerprint: () => quarantine.CallFingerprint
 }
 
 /**
  * Creates the state of a call.
  *
- * @param facts - What is known of it.
+ * @param details - What is known of the call.
  * @returns The state before the first attempt.
  */
-export function createCallState (facts: CallFacts): CallState {
-  let hasLeft = false
+export function createCallState (details: CallDetails): CallState {
+  let isCallerGone = false
   let isExpired = false
-  let isTakenBack = false
-  let endAttempt: () => void = () => {}
+  let isWithdrawn = false
+  let abortAttempt: () => void = () => {}
   let fingerprint: quarantine.CallFingerprint | null = null
-  const { kind, isResumable } = facts.route
+  const { kind, isResumable } = details.route
   const state: CallState = {
-    ...facts,
+    ...details,
     tried: new Set(),
     attempts: 0,
     mayHaveRun: false,
     predictedMs: null,
     firstEventAt: null,
-    hasBegun: false,
+    hasAttemptResponded: false,
     isRepeatable: kind === 'repeatable' || (kind === 'stream' && isResumable),
     fingerprint: () => {
-      fingerprint ??= quarantine.identifyCall({ account: facts.tenant, method: facts.head.method, host: facts.head.host, path: facts.head.path, body: facts.body })
+      fingerprint ??= quarantine.identifyCall({ account: details.tenant, method: details.head.method, host: details.head.host, path: details.head.path, body: details.body })
       return fingerprint
     },
-    hasLeft: () => hasLeft,
+    isCallerGone: () => isCallerGone,
     isExpired: () => isExpired,
     expire: () => {
       isExpired = true
-      endAttempt()
+      abortAttempt()
     },
-    leave: () => {
-      hasLeft = true
-      endAttempt()
+    noteCallerGone: () => {
+      isCallerGone = true
+      abortAttempt()
     },
-    isTakenBack: () => isTakenBack,
-    takeBack: () => {
-      if (state.hasBegun) return
-      isTakenBack = true
-      endAttempt()
+    isWithdrawn: () => isWithdrawn,
+    withdraw: () => {
+      if (state.hasAttemptResponded) return
+      isWithdrawn = true
+      abortAttempt()
     },
-    onEnd: (end) => {
-      endAttempt = end
-      state.hasBegun = false
-      if (hasLeft || isExpired) end()
+    setAbortAttempt: (end) => {
+      abortAttempt = end
+      state.hasAttemptResponded = false
+      if (isCallerGone || isExpired) end()
     }
   }
   return state
 }
 
 /**
- * Milliseconds since the caller's first try: what a caller waits falls with each one. One that always waits for less than the route allows
- * counts as one that came back, alike for all callers of that route.
+ * Milliseconds since the caller's first try. A caller that retries has less time left in each try, so the time of earlier tries is inferred from the
+ * route's timeout. A caller that always allows less time than the route does is treated as retrying; this affects all callers of the route alike.
  *
  * @param call - The call.
  * @param now - Monotonic time in milliseconds.
  */
-export function readSpentMs ({ head, route, receivedAt }: CallFacts, now: number): number {
-  const spentBeforeMs = Math.max(0, route.timeoutMs - (head.remainingMs ?? route.timeoutMs))
-  return spentBeforeMs + now - receivedAt
+export function readElapsedMs ({ head, route, receivedAt }: CallDetails, now: number): number {
+  const earlierTriesMs = Math.max(0, route.timeoutMs - (head.remainingMs ?? route.timeoutMs))
+  return earlierTriesMs + now - receivedAt
 }
 
-/** A call that has used so much of its target can hardly be in time any more. */
-const LATE_PART = 0.6
+/** A call sent after this fraction of its target is unlikely to be answered in time. */
+const LATEST_SEND_FRACTION = 0.6
 
-/** Whether a call that is sent so many milliseconds after its caller's first try may still be answered in time. */
-export function mayBeInTime (spentMs: number, targetMs: number): boolean {
-  return spentMs < targetMs * LATE_PART
+/** Whether a call sent this many milliseconds after its caller's first try may still be answered in time. */
+export function canMeetTarget (elapsedMs: number, targetMs: number): boolean {
+  return elapsedMs < targetMs * LATEST_SEND_FRACTION
 }
--- a/packages/gateway/src/_lib/deadline.ts
+++ b/packages/gateway/src/_lib/deadline.ts
@@ -1,4 +1,4 @@
-/** The moment by which a call must have its final answer. */
+/** Deadline of a call's final response. */
 
 /** A deadline on the monotonic clock. */
 export interface Deadline {
--- a/packages/gateway/src/_lib/logCall.ts
+++ b/packages/gateway/src/_lib/logCall.ts
@@ -1,20 +1,20 @@
-/** The line and the counts that each call leaves at its end. */
+/** Logs and counts each call when it ends. */
 import type * as callOptions from './callOptions.js'
 import type * as callState from './callState.js'
 
-/** Why a call got its final answer. */
+/** How a call got its final response. */
 export type Ending = 'answered' | 'left' | 'refused' | 'failed' | 'expired'
 
-/** How a call ended. */
+/** The end of a call. */
 export interface CallEnd {
   readonly ending: Ending
-  /** The back end of the last attempt; empty when there was none. */
+  /** The back end of the last attempt; empty if there was none. */
   readonly backEnd: string
-  /** Version of the weights that answered; null where none did. */
+  /** Version of the weights that served the call; null if none did. */
   readonly version: number | null
-  /** Why it was not answered. */
+  /** Why the call was not answered. */
   readonly reason: string
-  /** Whether it was refused because back ends ended under calls like it. */
+  /** Whether the call was refused because calls with its fingerprint crashed back ends. */
   readonly isBlocked: boolean
 }
 
@@ -23,7 +23,7 @@
  *
  * @param call - The call.
  * @param end - How it ended.
- * @param options - Log, counters and clock.
+ * @param options - Logger, counters and clock.
  */
 export function logCall (call: callState.CallState, end: CallEnd, options: Pick<callOptions.CallHandlerOptions, 'count' | 'observe' | 'logger' | 'now'>): void {
   const elapsedMs = Math.round(options.now() - call.receivedAt)
--- a/packages/gateway/src/_lib/noteOutcome.ts
+++ b/packages/gateway/src/_lib/noteOutcome.ts
@@ -1,22 +1,22 @@
-/** What a gateway learns from an attempt that has ended. */
+/** Updates a gateway's records from attempts that have ended. */
 import type * as chooseBackEnd from '../chooseBackEnd/index.js'
 import type * as callOptions from './callOptions.js'
 import type * as callState from './callState.js'
 import type * as runAttempt from './runAttempt.js'
 
 /**
- * Notes how a back end did, and logs an attempt that failed.
+ * Records the outcome of an attempt, and logs a failed one.
  *
  * @param call - The call.
  * @param choice - The back end.
  * @param outcome - How the attempt ended.
- * @param options - Records, log and counters.
+ * @param options - Back end records, logger and counters.
  */
 export function noteOutcome (call: callState.CallState, choice: chooseBackEnd.Choice, outcome: runAttempt.AttemptOutcome, options: Pick<callOptions.CallHandlerOptions, 'book' | 'count' | 'logger'>): void {
   const { id } = choice.backEnd
   options.count('attempts', { outcome: outcome.kind })
   if (outcome.kind === 'done') options.book.noteSuccess(id)
-  else if (outcome.kind === 'not-run' && outcome.isGone) options.book.noteGone(id)
+  else if (outcome.kind === 'not-run' && outcome.isGone) options.book.noteInstanceEnded(id)
   else if (outcome.kind === 'not-run') options.book.noteFull(id)
   else if (outcome.kind !== 'failed-answer') options.book.noteFailure(id)
   if (outcome.kind === 'done') return
@@ -25,12 +25,13 @@
 }
 
 /**
- * Learns from a first attempt that was given up before it began: if that was late, it counts as one that began then.
+ * Records the prediction error of a first attempt that was given up before anything of its response arrived. If it was already late, it counts as having
+ * begun when it was given up.
  *
  * @param call - The call.
- * @param options - What is learned of predictions, and the clock.
+ * @param options - Prediction errors and clock.
  */
-export function noteNotBegun (call: callState.CallState, options: Pick<callOptions.CallHandlerOptions, 'errorsOf' | 'now'>): void {
+export function noteUnansweredAttempt (call: callState.CallState, options: Pick<callOptions.CallHandlerOptions, 'errorsOf' | 'now'>): void {
   const elapsedMs = options.now() - call.receivedAt
   if (call.attempts === 1 && call.predictedMs !== null && elapsedMs > call.route.targetMs) options.errorsOf(call.service).note(call.predictedMs, elapsedMs)
 }
--- a/packages/gateway/src/_lib/reservationWire.ts
+++ b/packages/gateway/src/_lib/reservationWire.ts
@@ -1,14 +1,14 @@
-/** Datagrams of slot reservations: arrays in JSON, the kind first. */
+/** Datagrams of slot reservations: JSON arrays that start with the kind of message. */
 import * as types from '@switchridge/types'
 import type * as createSlotReservations from '../createSlotReservations/index.js'
 
-/** A gateway asks for a slot. */
+/** A gateway's request for a slot. */
 export interface ReservationRequest extends createSlotReservations.SlotRequest {
-  /** Tells the requests of one gateway apart, also those of its earlier incarnations. */
+  /** Distinguishes the requests of one gateway, including those of its earlier processes. */
   readonly number: number
 }
 
-/** The answer to a request. */
+/** The reply to a request. */
 export interface ReservationReply {
   readonly number: number
   readonly isReserved: boolean
@@ -22,7 +22,7 @@
   return bytes.toString('latin1', 0, REQUEST_PREFIX.length) === REQUEST_PREFIX
 }
 
-/** Whether a datagram is the answer to a request. */
+/** Whether a datagram is a reply. */
 export function isReply (bytes: Buffer): boolean {
   return bytes.toString('latin1', 0, REPLY_PREFIX.length) === REPLY_PREFIX
 }
@@ -32,18 +32,18 @@
   return Buffer.from(`${REQUEST_PREFIX}${number},${Math.round(promptTokens)},${Math.floor(withinMs)}]`)
 }
 
-/** Formats the answer. */
+/** Formats a reply. */
 export function formatReply ({ number, isReserved }: ReservationReply): Buffer {
   return Buffer.from(`${REPLY_PREFIX}${number},${isReserved ? 1 : 0}]`)
 }
 
-/** Decodes a request; null for one that can't be read. */
+/** Decodes a request; null if it is invalid. */
 export function decodeRequest (bytes: Buffer): ReservationRequest | null {
   const [, number, promptTokens, withinMs] = types.parseJsonList(bytes)
   return types.isCount(number) && types.isCount(promptTokens) && types.isCount(withinMs) ? { number, promptTokens, withinMs } : null
 }
 
-/** Decodes an answer; null for one that can't be read. */
+/** Decodes a reply; null if it is invalid. */
 export function decodeReply (bytes: Buffer): ReservationReply | null {
   const [, number, reserved] = types.parseJsonList(bytes)
   return types.isCount(number) && (reserved === 0 || reserved === 1) ? { number, isReserved: reserved === 1 } : null
--- a/packages/gateway/src/_lib/runAttempts.ts
+++ b/packages/gateway/src/_lib/runAttempts.ts
@@ -1,8 +1,8 @@
-/** Sends a call to one back end after another until it has its final answer. */
+/** Sends a call to one back end after another until it has its final response. */
 import type * as types from '@switchridge/types'
 import type * as createBackEndBook from '../createBackEndBook/index.js'
 import type * as chooseBackEnd from '../chooseBackEnd/index.js'
-import * as relayEvents from '../relayEvents/index.js'
+import * as createEventSplitter from '../createEventSplitter/index.js'
 import * as admitCall from './admitCall.js'
 import type * as answers from './answers.js'
 import * as callState from './callState.js'
@@ -14,43 +14,43 @@
 
 const DEFAULT_RETRY_AFTER_MS = 400
 /**
- * While no back end may serve at all, a caller that came back soon would be refused again. All callers together must not
- * be told the time at which engines will serve: they would come back all at once.
+ * Retry time while no back end may serve at all: a caller that retried sooner would be refused again. Callers must not be told when engines will serve
+ * again, because they would all retry at that moment.
  */
-const NONE_RETRY_AFTER_MS = 1000
-const NONE_REMAINING_PART = 0.3
+const NO_BACK_END_RETRY_AFTER_MS = 1000
+const NO_BACK_END_REMAINING_FRACTION = 0.3
 const BLOCKED_REASON = 'blocked: back ends ended under this call'
-/** Chances to reach another back end after connections that never stood. */
-const MAXIMUM_UNSENT = 4
-/** A call that was refused so many permits goes to a back end without a limit, or comes back: each one cost it a round trip. */
+/** Number of connections that may fail before the call is given up. */
+const MAXIMUM_CONNECT_FAILURES = 4
+/** After this many refused permits, each of which cost a round trip, the call goes to a back end without a limit, or its caller retries. */
 const MAXIMUM_PERMITS_REFUSED = 2
-/** Callers that wait for permits of one back end come back one after the other. */
-const LIMITED_SPREAD_PART = 0.5
-const LIMITED_RETRY_MINIMUM_MS = 60
+/** Random extension of the retry time, so that callers that wait for permits of one back end do not retry simultaneously. */
+const PERMIT_RETRY_JITTER_FRACTION = 0.5
+const PERMIT_RETRY_MINIMUM_MS = 60
 
 type Options = callOptions.CallHandlerOptions
 
-/** Writes for which reasons how many back ends were passed over. */
+/** Describes how many back ends were passed over for each reason. */
 function describePassedOver (passedOver: chooseBackEnd.PassedOver): string {
   const counts = Object.entries(passedOver).map(([reason, count]) => `${count} ${reason}`)
   return counts.length === 0 ? 'none is listed' : counts.join(', ')
 }
 
 /**
- * Runs a call to its end.
+ * Runs a call until it has its final response.
  *
  * @param call - The call.
- * @param reply - Where its answer goes.
+ * @param reply - The response to the caller.
  * @param options - Decisions and clock of the gateway.
  */
 export async function runAttempts (call: callState.CallState, reply: answers.Reply, options: Options): Promise<void> {
   const budget = options.budgetOf(call.service)
   budget.noteCall()
   const cancelExpiry = options.at(call.deadline.at, call.expire)
-  const stream = runAttempt.createStreamState(relayEvents.createEventSplitter(call.head.lastEventId))
-  let failed: runAttempt.WholeAnswer | null = null
+  const stream = runAttempt.createStreamState(createEventSplitter.createEventSplitter(call.head.lastEventId))
+  let failedAnswer: runAttempt.BufferedAnswer | null = null
   let retryAfterMs = DEFAULT_RETRY_AFTER_MS
-  let unsent = 0
+  let connectFailures = 0
   let permitsRefused = 0
   let lastReason = ''
   let backEnd = ''
@@ -59,43 +59,43 @@
   async function serve (): Promise<logCall.Ending> {
     for (;;) {
       const isFirst = call.attempts === 0
-      const isLate = !reply.hasBegun() && !mayBeInTime(0)
+      const isLate = !reply.hasStarted() && !canMeetTarget(0)
       const blockedMs = options.guard.isActive() ? options.guard.findBlock(call.fingerprint()) : null
       if (blockedMs !== null) {
         isBlocked = true
         lastReason = BLOCKED_REASON
         retryAfterMs = blockedMs
-        return giveUp()
+        return endUnserved()
       }
       const chosen = choose(call.tried, isLate)
-      const { passedOver, takenPart, limitedMs } = chosen
+      const { passedOver, utilization, permitWaitMs } = chosen
       let { choice } = chosen
       if (choice === null) {
-        if (lastReason !== '') return giveUp()
-        retryAfterMs = chooseReturn(limitedMs)
+        if (lastReason !== '') return endUnserved()
+        retryAfterMs = computeRetryAfterMs(permitWaitMs)
         lastReason = `no back end may serve: ${describePassedOver(passedOver)}`
-        return giveUp()
+        return endUnserved()
       }
       call.predictedMs ??= Math.round(choice.firstEventMs)
-      if (isFirst && unsent === 0) {
-        const admission = admitCall.admitCall(call, choice, takenPart, options)
-        if (!admission.isTaken) {
+      if (isFirst && connectFailures === 0) {
+        const admission = admitCall.admitCall(call, choice, utilization, options)
+        if (!admission.isAdmitted) {
           const reserved = await reserveSlot.reserveSlot(call, choice, admission.withinMs, (tried) => choose(tried, isLate).choice, options)
-          if (call.hasLeft()) return 'left'
+          if (call.isCallerGone()) return 'left'
           if (reserved === null) {
             lastReason = admission.reason
             retryAfterMs = admission.retryAfterMs
-            return giveUp()
+            return endUnserved()
           }
           choice = reserved
         }
       }
-      if (choice.isLimited) {
+      if (choice.isRateLimited) {
         const permit = await options.limiter.acquire(choice.backEnd, isLate)
-        if (call.hasLeft()) return 'left'
+        if (call.isCallerGone()) return 'left'
         if (call.isExpired()) {
           lastReason = 'no permit in time'
-          return giveUp()
+          return endUnserved()
         }
         if (!permit.isGranted) {
           permitsRefused += 1
@@ -104,24 +104,24 @@
       }
       if (!isFirst && !budget.trySpend()) {
         lastReason = `${lastReason}; retry budget spent`
-        return giveUp()
+        return endUnserved()
       }
       backEnd = choice.backEnd.id
       const outcome = await attempt(choice)
-      if (call.hasLeft()) return 'left'
+      if (call.isCallerGone()) return 'left'
       if (outcome.kind === 'done') return 'answered'
       lastReason = outcome.reason
-      if (outcome.kind === 'failed-answer') failed = outcome.answer
+      if (outcome.kind === 'failed-answer') failedAnswer = outcome.answer
       if (call.isExpired()) {
         lastReason = `no answer within ${Math.round(call.deadline.at - call.receivedAt)} ms`
-        return giveUp()
+        return endUnserved()
       }
       if (outcome.kind === 'not-sent') {
-        unsent += 1
-        if (unsent >= MAXIMUM_UNSENT) return giveUp()
+        connectFailures += 1
+        if (connectFailures >= MAXIMUM_CONNECT_FAILURES) return endUnserved()
         continue
       }
-      if (!mayGoOn(outcome)) return giveUp()
+      if (!mayRetry(outcome)) return endUnserved()
     }
   }
 
@@ -139,18 +139,18 @@
     })
   }
 
-  /** When a caller that no back end may serve now may come back. */
-  function chooseReturn (limitedMs: number): number {
-    const soonMs = Math.max(LIMITED_RETRY_MINIMUM_MS, limitedMs) * (1 + LIMITED_SPREAD_PART * options.random())
-    const retryMs = mayBeInTime(soonMs) ? soonMs : NONE_RETRY_AFTER_MS * (1 + options.random())
-    return Math.min(retryMs, call.deadline.remainingMs() * NONE_REMAINING_PART)
+  /** Milliseconds after which a caller may retry if no back end may serve it now. */
+  function computeRetryAfterMs (permitWaitMs: number): number {
+    const permitRetryMs = Math.max(PERMIT_RETRY_MINIMUM_MS, permitWaitMs) * (1 + PERMIT_RETRY_JITTER_FRACTION * options.random())
+    const retryMs = canMeetTarget(permitRetryMs) ? permitRetryMs : NO_BACK_END_RETRY_AFTER_MS * (1 + options.random())
+    return Math.min(retryMs, call.deadline.remainingMs() * NO_BACK_END_REMAINING_FRACTION)
   }
 
-  function mayBeInTime (laterMs: number): boolean {
-    return callState.mayBeInTime(callState.readSpentMs(call, options.now()) + laterMs, call.route.targetMs)
+  function canMeetTarget (delayMs: number): boolean {
+    return callState.canMeetTarget(callState.readElapsedMs(call, options.now()) + delayMs, call.route.targetMs)
   }
 
-  function mayGoOn (outcome: runAttempt.AttemptOutcome): boolean {
+  function mayRetry (outcome: runAttempt.AttemptOutcome): boolean {
     if (call.attempts >= call.route.maximumAttempts) return false
     if (outcome.kind === 'not-run') return !call.mayHaveRun || call.isRepeatable
     return call.isRepeatable
@@ -162,25 +162,25 @@
       promptTokens: call.head.promptTokens,
       answerTokens: call.head.answerTokens,
       sentAt: options.now(),
-      hasBegun: false
+      hasResponded: false
     }
     options.book.noteSent(choice.backEnd.id, open)
     const outcome = await runAttempt.runAttempt(call, reply, stream, choice, open, options)
     options.book.noteEnded(choice.backEnd.id, open)
-    if (!call.hasLeft() && !call.isExpired() && !call.isTakenBack()) noteOutcome.noteOutcome(call, choice, outcome, options)
-    if (outcome.kind === 'broken' && outcome.isCut) await options.guard.noteCut(choice.backEnd, call.fingerprint())
+    if (!call.isCallerGone() && !call.isExpired() && !call.isWithdrawn()) noteOutcome.noteOutcome(call, choice, outcome, options)
+    if (outcome.kind === 'broken' && outcome.isClosedByPeer) await options.guard.noteCut(choice.backEnd, call.fingerprint())
     if (outcome.kind === 'done' && options.guard.isActive()) options.guard.noteServed(call.fingerprint())
-    if (outcome.kind === 'broken' && !open.hasBegun) noteOutcome.noteNotBegun(call, options)
+    if (outcome.kind === 'broken' && !open.hasResponded) noteOutcome.noteUnansweredAttempt(call, options)
     return outcome
   }
 
-  function giveUp (): logCall.Ending {
-    if (reply.hasBegun()) {
-      reply.breakOff()
+  function endUnserved (): logCall.Ending {
+    if (reply.hasStarted()) {
+      reply.abort()
       return 'failed'
     }
-    if (failed !== null) {
-      reply.sendWhole(failed.status, failed.headers, failed.body, failed.isFramed)
+    if (failedAnswer !== null) {
+      reply.sendBuffered(failedAnswer.status, failedAnswer.headers, failedAnswer.body, failedAnswer.isFramed)
       return 'answered'
     }
     if (!call.mayHaveRun) {
--- a/packages/gateway/src/_lib/simulatedEngine.ts
+++ b/packages/gateway/src/_lib/simulatedEngine.ts
@@ -1,4 +1,4 @@
-/** An engine of the load simulation: it works in passes and tells how loaded it is. */
+/** An engine of the load simulation: it processes requests in passes and reports its load. */
 import type * as standins from '@switchridge/standins'
 import * as types from '@switchridge/types'
 import type * as gateway from '../types/index.js'
@@ -8,7 +8,7 @@
 export const MODEL = 'm'
 
 /** A call at an engine. */
-export interface Work {
+export interface EngineCall {
   readonly isUrgent: boolean
   unreadTokens: number
   eventsLeft: number
@@ -16,78 +16,78 @@
   readonly onEnd: () => void
 }
 
-/** An engine of the simulation. */
+/** A simulated engine. */
 export interface SimulatedEngine {
   readonly backEnd: gateway.BackEnd
-  /** False when it is full. */
-  readonly take: (work: Work) => boolean
+  /** Adds a call to the queue; false if the queue is full. */
+  readonly enqueue: (call: EngineCall) => boolean
   readonly report: () => gateway.EngineReport
 }
 
-const ENGINE_QUEUE = 16
-/** Steps of a pass that has writers, and tokens read in each of them at most. */
-export const STRIDE = 5
-const CHUNK_TOKENS = 2048
+const QUEUE_LIMIT = 16
+/** Steps per pass, and the largest number of prompt tokens read in each step. */
+export const STEPS_PER_PASS = 5
+const PREFILL_TOKENS_PER_STEP = 2048
 
 /**
- * Creates an engine that reads the prompts of all that it lets in, and gives each writer an event a pass.
+ * Creates an engine that reads the prompts of all running calls, and sends each call that has been read one event per pass.
  *
- * @param id - Its identity.
+ * @param id - Id of the back end.
  * @param zone - Its data hall.
- * @param pace - How many times more slowly than its figures it works.
+ * @param pace - Factor by which it is slower than its figures.
  * @param figures - Speeds and slots.
- * @param timeline - The clock of the simulation.
+ * @param timeline - Clock of the simulation.
  * @returns The engine, idle.
  */
 export function createSimulatedEngine (id: string, zone: string, pace: number, figures: gateway.EngineFigures, timeline: standins.Timeline): SimulatedEngine {
-  const running: Work[] = []
-  const waiting: Work[] = []
+  const running: EngineCall[] = []
+  const waiting: EngineCall[] = []
   let isInPass = false
 
-  function pass (): void {
-    while (running.length < figures.slots && waiting.length > 0) running.push(takeNext())
+  function runPass (): void {
+    while (running.length < figures.slots && waiting.length > 0) running.push(dequeue())
     isInPass = running.length > 0
     if (!isInPass) return
-    let budget = STRIDE * CHUNK_TOKENS
-    const read = running.map((work) => {
-      const tokens = Math.min(work.unreadTokens, budget)
+    let budget = STEPS_PER_PASS * PREFILL_TOKENS_PER_STEP
+    const read = running.map((call) => {
+      const tokens = Math.min(call.unreadTokens, budget)
       budget -= tokens
       return tokens
     })
     const stepMs = (figures.stepMs as number) + (figures.stepMsPerSequence as number) * running.length
-    const passMs = pace * (STRIDE * stepMs + read.reduce((sum, tokens) => sum + tokens, 0) / (figures.prefillTokensPerMs as number))
-    timeline.at(timeline.now() + passMs, () => { endPass(read) })
+    const passMs = pace * (STEPS_PER_PASS * stepMs + read.reduce((sum, tokens) => sum + tokens, 0) / (figures.prefillTokensPerMs as number))
+    timeline.at(timeline.now() + passMs, () => { finishPass(read) })
   }
 
-  /** The more urgent ones are let in first. */
-  function takeNext (): Work {
+  /** Removes the next call from the queue; urgent calls come first. */
+  function dequeue (): EngineCall {
     const at = Math.max(0, waiting.findIndex(({ isUrgent }) => isUrgent))
-    return waiting.splice(at, 1)[0] as Work
+    return waiting.splice(at, 1)[0] as EngineCall
   }
 
-  function endPass (read: readonly number[]): void {
-    const ended: Work[] = []
-    running.forEach((work, at) => {
+  function finishPass (read: readonly number[]): void {
+    const ended: EngineCall[] = []
+    running.forEach((call, at) => {
       const tokens = read[at] ?? 0
-      work.unreadTokens -= tokens
-      if (work.unreadTokens > 0) return
-      if (tokens > 0) work.onFirstEvent()
-      work.eventsLeft -= 1
-      if (work.eventsLeft <= 0) ended.push(work)
+      call.unreadTokens -= tokens
+      if (call.unreadTokens > 0) return
+      if (tokens > 0) call.onFirstEvent()
+      call.eventsLeft -= 1
+      if (call.eventsLeft <= 0) ended.push(call)
     })
-    for (const work of ended) {
-      running.splice(running.indexOf(work), 1)
-      work.onEnd()
+    for (const call of ended) {
+      running.splice(running.indexOf(call), 1)
+      call.onEnd()
     }
-    pass()
+    runPass()
   }
 
   return {
     backEnd: { id: types.brandId(id), bornAt: null, service: SERVICE, address: { host: id, port: 1 }, zone, slots: figures.slots, isDraining: false, models: new Map([[MODEL, 1]]) },
-    take: (work) => {
-      if (waiting.length >= ENGINE_QUEUE) return false
-      waiting.push(work)
-      if (!isInPass) pass()
+    enqueue: (call) => {
+      if (waiting.length >= QUEUE_LIMIT) return false
+      waiting.push(call)
+      if (!isInPass) runPass()
       return true
     },
     report: () => ({ bornAt: null, running: running.length, waiting: waiting.length, isBusy: false, sequence: 0, pace, limitPerSecond: null, models: new Map([[MODEL, 1]]) })
--- a/packages/gateway/src/chooseBackEnd/limited.test.ts
+++ b/packages/gateway/src/chooseBackEnd/limited.test.ts
@@ -13,7 +13,7 @@
   return { id: types.brandId(id), bornAt: null, service: types.brandId('api'), address: { host: '127.0.0.1', port: 1 }, zone: 'a', slots: SLOTS, isDraining: false, models: new Map() }
 }
 
-function choose (rooms: Readonly<Record<string, limiters.LimitedRoom | null>>, change: Partial<chooseBackEnd.ChoiceInput> = {}): chooseBackEnd.ChoiceOutcome {
+function choose (rooms: Readonly<Record<string, limiters.RateAllowance | null>>, change: Partial<chooseBackEnd.ChoiceInput> = {}): chooseBackEnd.ChoiceOutcome {
   return chooseBackEnd.chooseBackEnd({
     backEnds: Object.keys(rooms).map(createPlain),
     book: createBackEndBook.createBackEndBook(() => NOW),
@@ -35,7 +35,7 @@
   })
 }
 
-nodeTest.test('a back end with a limit is chosen only when a permit may be had', () => {
+nodeTest.test('a rate-limited back end is chosen only if a permit may be requested', () => {
   assert.equal(choose({ limited: { perSecond: 1, waitMs: 0 } }).choice?.backEnd.id, 'limited')
   const waiting = choose({ limited: { perSecond: 1, waitMs: 700 }, sound: null })
   assert.equal(waiting.choice?.backEnd.id, 'sound')
@@ -43,15 +43,15 @@
   assert.equal(choose({ limited: { perSecond: 1, waitMs: 0 } }, { mayAsk: false }).choice, null)
 })
 
-nodeTest.test('where all wait for permits, the earliest one is told', () => {
+nodeTest.test('if all back ends wait for permits, the shortest wait is returned', () => {
   const outcome = choose({ one: { perSecond: 1, waitMs: 700 }, two: { perSecond: 2, waitMs: 300 } })
   assert.equal(outcome.choice, null)
-  assert.equal(outcome.limitedMs, 300)
-  assert.equal(choose({ sound: null }).limitedMs, Infinity)
+  assert.equal(outcome.permitWaitMs, 300)
+  assert.equal(choose({ sound: null }).permitWaitMs, Infinity)
 })
 
-nodeTest.test('a back end with a limit has as many places as its limit allows, all taken while it waits', () => {
-  assert.equal(choose({ limited: { perSecond: 4, waitMs: 500 }, sound: null }).takenPart, 4 / (4 + SLOTS))
-  assert.equal(choose({ limited: { perSecond: 4, waitMs: 0 }, sound: null }).takenPart, 0)
-  assert.equal(choose({ limited: { perSecond: 100, waitMs: 500 }, sound: null }).takenPart, 0.5)
+nodeTest.test('a rate-limited back end has as many slots as its limit allows, all occupied while it waits for a permit', () => {
+  assert.equal(choose({ limited: { perSecond: 4, waitMs: 500 }, sound: null }).utilization, 4 / (4 + SLOTS))
+  assert.equal(choose({ limited: { perSecond: 4, waitMs: 0 }, sound: null }).utilization, 0)
+  assert.equal(choose({ limited: { perSecond: 100, waitMs: 500 }, sound: null }).utilization, 0.5)
 })
--- a/packages/gateway/src/createBackEndBook/test.ts
+++ b/packages/gateway/src/createBackEndBook/test.ts
@@ -4,123 +4,123 @@
 import * as createBackEndBook from './index.js'
 
 const ID = types.brandId<types.NodeId>('engine')
-const NEWS: createBackEndBook.AgentNews = {
+const STATUS: createBackEndBook.AgentStatus = {
   isPaused: false,
   changesInMs: null,
   report: { bornAt: null, running: 1, waiting: 0, isBusy: false, sequence: 0, pace: 1, limitPerSecond: null, models: new Map() }
 }
 
-interface PlayedReports {
-  readonly book: createBackEndBook.BackEndBook
-  readonly pass: (milliseconds: number) => void
+interface RecordedReports {
+  readonly tracker: createBackEndBook.BackEndBook
+  readonly advance: (milliseconds: number) => void
 }
 
-/** A book that hears of one engine at even intervals, each time `agoMs` after the agent said it. */
-function playReports (gapMs: number, agoMs: number, count: number): PlayedReports {
+/** Creates a tracker that receives reports of one engine at regular intervals; each report is `reportAgeMs` old on arrival. */
+function recordReports (intervalMs: number, reportAgeMs: number, count: number): RecordedReports {
   let time = 10_000
-  const book = createBackEndBook.createBackEndBook(() => time)
+  const tracker = createBackEndBook.createBackEndBook(() => time)
   for (let heard = 0; heard < count; heard += 1) {
-    time += gapMs
-    book.noteReport(ID, NEWS, time - agoMs, 0)
+    time += intervalMs
+    tracker.noteReport(ID, STATUS, time - reportAgeMs, 0)
   }
-  return { book, pass: (milliseconds) => { time += milliseconds } }
+  return { tracker, advance: (milliseconds) => { time += milliseconds } }
 }
 
-nodeTest.test('an agent that tells its gateway often is silent soon, and what it said counts for little longer', () => {
-  const { book, pass } = playReports(350, 20, 20)
-  pass(1000)
-  assert.equal(book.read(ID).isSilent, false)
-  pass(100)
-  assert.equal(book.read(ID).isSilent, true)
-  assert.notEqual(book.read(ID).report, null)
-  pass(400)
-  assert.equal(book.read(ID).report, null)
+nodeTest.test('the report of an agent that reports often is soon overdue, and unused a little later', () => {
+  const { tracker, advance } = recordReports(350, 20, 20)
+  advance(1000)
+  assert.equal(tracker.read(ID).isReportOverdue, false)
+  advance(100)
+  assert.equal(tracker.read(ID).isReportOverdue, true)
+  assert.notEqual(tracker.read(ID).report, null)
+  advance(400)
+  assert.equal(tracker.read(ID).report, null)
 })
 
-nodeTest.test('an agent of which relays tell seldom, as in a large fleet, is not taken for silent between two tellings', () => {
-  const { book, pass } = playReports(2400, 700, 20)
-  pass(2300)
-  assert.equal(book.read(ID).isSilent, false)
-  assert.notEqual(book.read(ID).report, null)
-  pass(3000)
-  assert.equal(book.read(ID).isSilent, true)
-  pass(2000)
-  assert.equal(book.read(ID).report, null)
+nodeTest.test('the report of an agent that is relayed rarely, as in a large fleet, is not overdue between two arrivals', () => {
+  const { tracker, advance } = recordReports(2400, 700, 20)
+  advance(2300)
+  assert.equal(tracker.read(ID).isReportOverdue, false)
+  assert.notEqual(tracker.read(ID).report, null)
+  advance(3000)
+  assert.equal(tracker.read(ID).isReportOverdue, true)
+  advance(2000)
+  assert.equal(tracker.read(ID).report, null)
 })
 
-nodeTest.test('one long silence does not make an agent that tells often count as present for long', () => {
-  const { book, pass } = playReports(350, 20, 20)
-  pass(7000)
-  book.noteReport(ID, NEWS, 10_000 + 20 * 350 + 7000, 0)
-  pass(2200)
-  assert.equal(book.read(ID).isSilent, true)
+nodeTest.test('one long gap between reports does not extend the time limits of an agent that reports often', () => {
+  const { tracker, advance } = recordReports(350, 20, 20)
+  advance(7000)
+  tracker.noteReport(ID, STATUS, 10_000 + 20 * 350 + 7000, 0)
+  advance(2200)
+  assert.equal(tracker.read(ID).isReportOverdue, true)
 })
 
-/** What an engine tells in the life that began then. */
-function tellLife (bornAt: number | null, running: number): createBackEndBook.AgentNews {
-  return { ...NEWS, report: { ...NEWS.report, bornAt, running, sequence: running, models: new Map([['m', running]]) } }
+/** Status of the engine instance that started at `bornAt`. */
+function createInstanceStatus (bornAt: number | null, running: number): createBackEndBook.AgentStatus {
+  return { ...STATUS, report: { ...STATUS.report, bornAt, running, sequence: running, models: new Map([['m', running]]) } }
 }
 
-nodeTest.test('an engine that starts again under its id is used again, and nothing of its earlier life counts', () => {
-  const book = createBackEndBook.createBackEndBook(() => 10_000)
-  const open = { promptTokens: 900, answerTokens: 10, sentAt: 9000, hasBegun: false }
-  book.noteReport(ID, tellLife(1000, 7), 9990, 0)
-  book.noteSent(ID, open)
-  book.noteFailure(ID)
-  book.noteGone(ID)
-  assert.equal(book.read(ID).isGone, true)
-  book.noteReport(ID, tellLife(2000, 0), 9980, 0)
-  const load = book.read(ID)
+nodeTest.test('an engine that restarts under its id is used again, without the state of its earlier instance', () => {
+  const tracker = createBackEndBook.createBackEndBook(() => 10_000)
+  const open = { promptTokens: 900, answerTokens: 10, sentAt: 9000, hasResponded: false }
+  tracker.noteReport(ID, createInstanceStatus(1000, 7), 9990, 0)
+  tracker.noteSent(ID, open)
+  tracker.noteFailure(ID)
+  tracker.noteInstanceEnded(ID)
+  assert.equal(tracker.read(ID).isGone, true)
+  tracker.noteReport(ID, createInstanceStatus(2000, 0), 9980, 0)
+  const load = tracker.read(ID)
   assert.equal(load.isGone, false)
   assert.equal(load.avoidedUntil, 0)
   assert.equal(load.open.size, 0)
   assert.equal(load.report?.models.get('m'), 0)
-  book.noteEnded(ID, open)
-  assert.equal(book.read(ID).open.size, 0)
+  tracker.noteEnded(ID, open)
+  assert.equal(tracker.read(ID).open.size, 0)
 })
 
-nodeTest.test('a report of an earlier life never replaces one of a later life, however it was delayed', () => {
-  const book = createBackEndBook.createBackEndBook(() => 10_000)
-  book.noteReport(ID, tellLife(2000, 0), 9900, 0)
-  book.noteReport(ID, tellLife(1000, 7), 9990, 0)
-  assert.equal(book.read(ID).report?.running, 0)
+nodeTest.test('a delayed report of an earlier instance never replaces one of a later instance', () => {
+  const tracker = createBackEndBook.createBackEndBook(() => 10_000)
+  tracker.noteReport(ID, createInstanceStatus(2000, 0), 9900, 0)
+  tracker.noteReport(ID, createInstanceStatus(1000, 7), 9990, 0)
+  assert.equal(tracker.read(ID).report?.running, 0)
 })
 
-nodeTest.test('service discovery that lists a later life ends the earlier one before its agent tells of it', () => {
-  const book = createBackEndBook.createBackEndBook(() => 10_000)
-  book.noteReport(ID, tellLife(1000, 7), 9990, 0)
-  book.noteGone(ID)
-  book.keepOnly([{ id: ID, bornAt: 1000 }])
-  assert.equal(book.read(ID).isGone, true)
-  book.keepOnly([{ id: ID, bornAt: 2000 }])
-  assert.equal(book.read(ID).isGone, false)
-  assert.equal(book.read(ID).report, null)
-  book.keepOnly([{ id: ID, bornAt: 1000 }])
-  book.noteReport(ID, tellLife(1000, 7), 9995, 0)
-  assert.equal(book.read(ID).report, null)
+nodeTest.test('a later instance listed by service discovery replaces the earlier one before its agent reports', () => {
+  const tracker = createBackEndBook.createBackEndBook(() => 10_000)
+  tracker.noteReport(ID, createInstanceStatus(1000, 7), 9990, 0)
+  tracker.noteInstanceEnded(ID)
+  tracker.keepOnly([{ id: ID, bornAt: 1000 }])
+  assert.equal(tracker.read(ID).isGone, true)
+  tracker.keepOnly([{ id: ID, bornAt: 2000 }])
+  assert.equal(tracker.read(ID).isGone, false)
+  assert.equal(tracker.read(ID).report, null)
+  tracker.keepOnly([{ id: ID, bornAt: 1000 }])
+  tracker.noteReport(ID, createInstanceStatus(1000, 7), 9995, 0)
+  assert.equal(tracker.read(ID).report, null)
 })
 
-nodeTest.test('an engine that does not tell when its life began stays in one life', () => {
-  const book = createBackEndBook.createBackEndBook(() => 10_000)
-  book.noteReport(ID, tellLife(null, 1), 9900, 0)
-  book.noteGone(ID)
-  book.noteReport(ID, tellLife(null, 2), 9990, 0)
-  assert.equal(book.read(ID).isGone, true)
-  assert.equal(book.read(ID).report?.running, 2)
+nodeTest.test('an engine that gives no start time counts as one instance', () => {
+  const tracker = createBackEndBook.createBackEndBook(() => 10_000)
+  tracker.noteReport(ID, createInstanceStatus(null, 1), 9900, 0)
+  tracker.noteInstanceEnded(ID)
+  tracker.noteReport(ID, createInstanceStatus(null, 2), 9990, 0)
+  assert.equal(tracker.read(ID).isGone, true)
+  assert.equal(tracker.read(ID).report?.running, 2)
 })
 
-nodeTest.test('a back end whose process ended gets nothing until its agent hears it again, or its entry should be gone', () => {
-  const { book, pass } = playReports(350, 20, 3)
+nodeTest.test('a back end whose process ended is unavailable until its agent reports again, or until it should no longer be listed', () => {
+  const { tracker, advance } = recordReports(350, 20, 3)
   const time = 10_000 + 3 * 350
-  book.noteProcessEnded(ID)
-  assert.equal(book.read(ID).isGone, true)
-  pass(100)
-  book.noteReport(ID, NEWS, time + 80, 20)
-  assert.equal(book.read(ID).isGone, true, 'the report may have been under way')
-  pass(400)
-  book.noteReport(ID, NEWS, time + 480, 20)
-  assert.equal(book.read(ID).isGone, false)
-  book.noteProcessEnded(ID)
-  pass(4000)
-  assert.equal(book.read(ID).isGone, false)
+  tracker.noteProcessEnded(ID)
+  assert.equal(tracker.read(ID).isGone, true)
+  advance(100)
+  tracker.noteReport(ID, STATUS, time + 80, 20)
+  assert.equal(tracker.read(ID).isGone, true, 'the report may have been sent before the end')
+  advance(400)
+  tracker.noteReport(ID, STATUS, time + 480, 20)
+  assert.equal(tracker.read(ID).isGone, false)
+  tracker.noteProcessEnded(ID)
+  advance(4000)
+  assert.equal(tracker.read(ID).isGone, false)
 })
--- a/packages/gateway/src/createCallHandler/index.ts
+++ b/packages/gateway/src/createCallHandler/index.ts
@@ -1,4 +1,4 @@
-/** The request path: one caller's request, from its head to its final answer. */
+/** Handles one caller's request from its head to the final response. */
 import type * as http from 'node:http'
 import * as types from '@switchridge/types'
 import * as deadlines from '../_lib/deadline.js'
@@ -15,24 +15,21 @@
 /** Handles callers' requests. */
 export interface CallHandler {
   readonly handle: (request: http.IncomingMessage, response: http.ServerResponse) => void
-  /** Calls under way. */
+  /** Number of calls in progress. */
   readonly inProgress: () => number
-  /**
-   * Tells callers from now on to leave their connections, and refuses calls that may not end before `endsAt`,
-   * a monotonic time in milliseconds.
-   */
+  /** Starts draining: asks callers to close their connections, and refuses calls that may not finish before `endsAt`, a monotonic time in milliseconds. */
   readonly leave: (endsAt: number) => void
-  /** Gives every call under way its final answer now. */
+  /** Ends all calls in progress with a final response now. */
   readonly endAll: () => void
 }
 
-/** A gateway that ends takes no call that has less time than most streams need. */
-const LEAVING_CALL_MS = 3000
-/** Another gateway can take the call at once. */
-const LEAVING_RETRY_MS = 20
+/** A draining gateway refuses calls that arrive with less than this left until it ends; most streams need as long. */
+const DRAIN_MINIMUM_CALL_MS = 3000
+/** A refused caller may retry almost at once, because another gateway can take the call. */
+const DRAIN_RETRY_MS = 20
 
 /**
- * Creates the handler of callers' requests.
+ * Creates the handler.
  *
  * @param options - Protocol, configuration, decisions and clock.
  * @returns The handler.
@@ -42,7 +39,7 @@
   let endsAt: number | null = null
   const calls = new Set<callState.CallState>()
   options.guard.onBlocked((blocked) => {
-    for (const call of calls) if (call.fingerprint() === blocked) call.takeBack()
+    for (const call of calls) if (call.fingerprint() === blocked) call.withdraw()
   })
 
   async function run (request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
@@ -54,21 +51,21 @@
     const body = await readBody.readBody(request, limits?.maximumBodyBytes ?? Infinity)
     if (body.kind === 'broken') return
     if (body.kind === 'too-large') return reply.refuse(413, 'body too large', null)
-    if (table === null) return reply.refuse(503, 'no configuration yet', callState.UNREADY_RETRY_MS)
-    if (endsAt !== null && receivedAt + LEAVING_CALL_MS > endsAt) return reply.refuse(503, 'this gateway ends', LEAVING_RETRY_MS)
-    const admitted = admit(table, head)
-    if (!admitted.ok) return reply.refuse(admitted.status, admitted.reason, null)
-    const timeoutMs = Math.min(admitted.route.timeoutMs, head.remainingMs ?? Infinity)
+    if (table === null) return reply.refuse(503, 'no configuration yet', callState.NO_CONFIGURATION_RETRY_MS)
+    if (endsAt !== null && receivedAt + DRAIN_MINIMUM_CALL_MS > endsAt) return reply.refuse(503, 'this gateway ends', DRAIN_RETRY_MS)
+    const routed = routeCall(table, head)
+    if (!routed.ok) return reply.refuse(routed.status, routed.reason, null)
+    const timeoutMs = Math.min(routed.route.timeoutMs, head.remainingMs ?? Infinity)
     const call = callState.createCallState({
       head,
-      route: admitted.route,
-      tenant: admitted.tenant,
-      service: pickService(admitted.route, options.random()),
-      body: readSentBody(request, body.body),
+      route: routed.route,
+      tenant: routed.tenant,
+      service: pickService(routed.route, options.random()),
+      body: toForwardedBody(request, body.body),
       deadline: deadlines.createDeadline(receivedAt + timeoutMs, options.now),
       receivedAt
     })
-    response.once('close', () => { if (!response.writableFinished) call.leave() })
+    response.once('close', () => { if (!response.writableFinished) call.noteCallerGone() })
     calls.add(call)
     await runAttempts.runAttempts(call, reply, options)
     calls.delete(call)
@@ -90,11 +87,11 @@
   }
 }
 
-type Admitted =
+type RoutedCall =
   | { readonly ok: true, readonly route: gateway.Route, readonly tenant: types.AccountId | null }
   | { readonly ok: false, readonly status: number, readonly reason: string }
 
-function admit (table: createRouteTable.RouteTable, head: gateway.CallHead): Admitted {
+function routeCall (table: createRouteTable.RouteTable, head: gateway.CallHead): RoutedCall {
   const route = table.findRoute(head.host, head.path)
   if (route === null) return { ok: false, status: 404, reason: 'no route' }
   const tenant = head.key === null ? null : table.findTenant(head.key)
@@ -112,8 +109,8 @@
   return (route.splits[route.splits.length - 1] as gateway.ServiceSplit).service
 }
 
-/** A request without a body is passed on without one. */
-function readSentBody (request: http.IncomingMessage, body: Buffer): Buffer | null {
+/** Returns the body to forward; null if the request has none. */
+function toForwardedBody (request: http.IncomingMessage, body: Buffer): Buffer | null {
   const hasBody = request.headers['content-length'] !== undefined || request.headers['transfer-encoding'] !== undefined
   return hasBody ? body : null
 }
--- a/packages/gateway/src/createCallerServer/index.ts
+++ b/packages/gateway/src/createCallerServer/index.ts
@@ -1,41 +1,41 @@
-/** The server that callers reach: bounded heads and idle times, and an end that cuts no request. */
+/** HTTP server for callers, with limits on request heads and idle connections, that can stop without interrupting requests. */
 import * as http from 'node:http'
 import type * as net from 'node:net'
 import type * as types from '@switchridge/types'
 import type * as createCallHandler from '../createCallHandler/index.js'
 import * as gateway from '../types/index.js'
 
-/** An open server for callers. */
+/** A listening server. */
 export interface CallerServer {
-  /** Puts other limits in force for connections and requests to come. */
+  /** Applies other limits to future connections and requests. */
   readonly setLimits: (limits: gateway.CallerLimits) => void
-  /** Takes no new connections; those that are open go on. */
+  /** Stops accepting connections; open ones continue. */
   readonly stopAccepting: () => void
-  /** Closes connections on which no request is under way. */
+  /** Closes connections without a request in progress. */
   readonly closeIdle: () => void
   readonly close: () => void
 }
 
-/** Idle connections stay open this much longer than callers may count on. */
+/** Idle connections stay open this much longer than the limit given to callers. */
 const IDLE_MARGIN_MS = 1000
 const CHECK_INTERVAL_MS = 500
-const BACKLOG = 1024
+const LISTEN_BACKLOG = 1024
 
 /**
- * Opens the server.
+ * Starts the server.
  *
  * @param handler - Handles requests.
- * @param address - Where callers reach it.
- * @returns The open server.
+ * @param address - Address to listen on.
+ * @returns The listening server.
  */
 export async function createCallerServer (handler: createCallHandler.CallHandler, address: types.Address): Promise<CallerServer> {
   const server = http.createServer({ maxHeaderSize: gateway.DEFAULT_CALLER_LIMITS.maximumHeaderBytes, noDelay: true, connectionsCheckingInterval: CHECK_INTERVAL_MS }, handler.handle)
   setLimits(gateway.DEFAULT_CALLER_LIMITS)
   server.requestTimeout = 0
-  server.on('clientError', answerClientError)
+  server.on('clientError', respondToClientError)
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject)
-    server.listen(address.port, address.host, BACKLOG, resolve)
+    server.listen(address.port, address.host, LISTEN_BACKLOG, resolve)
   })
 
   function setLimits (limits: gateway.CallerLimits): void {
@@ -60,10 +60,10 @@
   ERR_HTTP_REQUEST_TIMEOUT: '408 Request Timeout'
 }
 
-/** Answers what is no request, and ends its connection. */
-function answerClientError (error: NodeJS.ErrnoException, socket: net.Socket): void {
-  const answering = (socket as net.Socket & { _httpMessage?: http.ServerResponse })._httpMessage
-  if (error.code === 'ECONNRESET' || !socket.writable || answering?.headersSent === true) {
+/** Answers an invalid or timed-out request and closes its connection. */
+function respondToClientError (error: NodeJS.ErrnoException, socket: net.Socket): void {
+  const pendingResponse = (socket as net.Socket & { _httpMessage?: http.ServerResponse })._httpMessage
+  if (error.code === 'ECONNRESET' || !socket.writable || pendingResponse?.headersSent === true) {
     socket.destroy()
     return
   }
--- a/packages/gateway/src/createCallerServer/test.ts
+++ b/packages/gateway/src/createCallerServer/test.ts
@@ -5,7 +5,7 @@
 
 const ADDRESS = { host: '127.0.0.31', port: 18_431 }
 
-/** Asks and reads the answer; null when there is no connection. */
+/** Sends a request and returns the response body; null if the connection fails. */
 async function ask (): Promise<string | null> {
   return await new Promise((resolve) => {
     http.get({ ...ADDRESS, agent: false }, (response) => {
@@ -16,7 +16,7 @@
   })
 }
 
-nodeTest.test('a server that takes no more connections ends the calls that it has', async (context) => {
+nodeTest.test('a server that stops accepting connections completes the calls in progress', async (context) => {
   let end: () => void = () => {}
   let noteBegun: () => void = () => {}
   const hasBegun = new Promise<void>((resolve) => { noteBegun = resolve })
--- a/packages/gateway/src/relayEvents/index.ts
+++ b/packages/gateway/src/createEventSplitter/index.ts
@@ -1,13 +1,13 @@
-/** Splits a stream of events (text/event-stream) into whole events and remembers the last id. */
+/** Splits a stream of server-sent events (text/event-stream) into complete events and tracks the last event id. */
 
-/** Splits one stream; a resumed stream goes on with the same splitter. */
+/** Splits one stream; a resumed stream continues with the same splitter. */
 export interface EventSplitter {
-  /** Takes bytes; returns those that make whole events. */
+  /** Adds bytes; returns the bytes up to the end of the last complete event, or null if no event is complete. */
   readonly push: (bytes: Buffer) => Buffer | null
-  /** Drops bytes of an event that never became whole. */
+  /** Discards the bytes of an incomplete event. */
   readonly dropPartial: () => void
   readonly hasPartial: () => boolean
-  /** Id of the last whole event. */
+  /** Id of the last complete event. */
   readonly lastEventId: () => string | null
 }
 
@@ -19,7 +19,7 @@
 /**
  * Creates a splitter.
  *
- * @param firstEventId - Id of the last event that the caller has already, or null.
+ * @param firstEventId - Id of the last event that the caller already has, or null.
  * @returns The splitter.
  * @example
  * splitter.push(Buffer.from('id: 1\ndata: a\n\nid: 2')) // the bytes of event 1
@@ -46,7 +46,7 @@
   }
 }
 
-/** Finds the end of the last whole event: an empty line. */
+/** Finds the end of the last complete event, which is an empty line; 0 if there is none. */
 function findLastEnd (bytes: Buffer): number {
   for (let index = bytes.length - 1; index > 0; index -= 1) {
     if (bytes[index] !== LINE_FEED) continue
--- a/packages/gateway/src/relayEvents/test.ts
+++ b/packages/gateway/src/createEventSplitter/test.ts
@@ -1,13 +1,13 @@
 import * as assert from 'node:assert/strict'
 import * as nodeTest from 'node:test'
 import * as fastCheck from 'fast-check'
-import * as relayEvents from './index.js'
+import * as createEventSplitter from './index.js'
 
-nodeTest.test('bytes pass in whole events, however they are cut', () => {
+nodeTest.test('bytes are passed on in complete events, wherever the input is split', () => {
   const text = [1, 2, 3].map((id) => `id: ${id}\ndata: ä${id}\n\n`).join('')
   const bytes = Buffer.from(text)
   fastCheck.assert(fastCheck.property(fastCheck.array(fastCheck.integer({ min: 1, max: bytes.length - 1 })), (cuts) => {
-    const splitter = relayEvents.createEventSplitter(null)
+    const splitter = createEventSplitter.createEventSplitter(null)
     const places = [0, ...[...new Set(cuts)].sort((left, right) => left - right), bytes.length]
     let passed = ''
     for (let index = 0; index + 1 < places.length; index += 1) {
@@ -22,8 +22,8 @@
   }), { seed: 7 })
 })
 
-nodeTest.test('an event that never became whole is dropped, and its id does not count', () => {
-  const splitter = relayEvents.createEventSplitter('4')
+nodeTest.test('an incomplete event is dropped, and its id is ignored', () => {
+  const splitter = createEventSplitter.createEventSplitter('4')
   splitter.push(Buffer.from('id: 5\r\ndata: a\r\n\r\nid: 6\nda'))
   assert.equal(splitter.hasPartial(), true)
   splitter.dropPartial()
--- a/packages/gateway/src/createReservationClient/index.ts
+++ b/packages/gateway/src/createReservationClient/index.ts
@@ -1,4 +1,4 @@
-/** Asks agents for slots of the engines beside them, by datagrams. */
+/** Requests slots of engines from their agents, over datagrams. */
 import type * as clock from '@switchridge/clock'
 import * as reservationWire from '../_lib/reservationWire.js'
 import type * as reservers from '../types/reserver.js'
@@ -7,52 +7,52 @@
 export interface ReservationClientOptions {
   readonly send: (host: string, bytes: Buffer) => void
   readonly count: (name: string, labels?: Readonly<Record<string, string>>) => void
-  /** Calls an action at a time of the clock. */
+  /** Schedules an action at a time of the monotonic clock. */
   readonly at: clock.AtTime
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
-  /** Random number from 0 to 1. */
+  /** Returns a random number from 0 to 1. */
   readonly random: () => number
 }
 
-/** The client of one gateway. */
+/** The reservation client of one gateway. */
 export interface ReservationClient extends reservers.SlotReserver {
-  /** Takes a datagram; false if it is no answer to a request. */
+  /** Handles a datagram; false if it is not a reply to a reservation request. */
   readonly receive: (bytes: Buffer, from: string) => boolean
 }
 
-interface Pending {
+interface PendingRequest {
   readonly host: string
   readonly finish: (isReserved: boolean) => void
 }
 
-/** A caller that is refused after a longer wait had better been refused at once. A slot that is reserved later lapses. */
-const ANSWER_MS = 40
-const NUMBERS = 2 ** 31
+/** Time to wait for a reply: a caller that is refused later than this had better been refused at once. A slot reserved too late simply expires. */
+const REPLY_TIMEOUT_MS = 40
+const REQUEST_NUMBER_RANGE = 2 ** 31
 
 /**
  * Creates the client.
  *
- * @param options - The way to agents, and clocks.
+ * @param options - Transport to the agents, counters and clocks.
  * @returns The client.
  */
 export function createReservationClient (options: ReservationClientOptions): ReservationClient {
   const { count, now } = options
-  const pending = new Map<number, Pending>()
-  let number = Math.floor(options.random() * NUMBERS)
+  const pending = new Map<number, PendingRequest>()
+  let lastRequestNumber = Math.floor(options.random() * REQUEST_NUMBER_RANGE)
 
   return {
     reserve: async ({ address: { host } }, request) => {
-      number += 1
-      const own = number
+      lastRequestNumber += 1
+      const requestNumber = lastRequestNumber
       return await new Promise<boolean>((resolve) => {
-        const cancel = options.at(now() + ANSWER_MS, () => { finish(false, 'none') })
-        pending.set(own, { host, finish: (isReserved) => { finish(isReserved, isReserved ? 'reserved' : 'refused') } })
-        options.send(host, reservationWire.formatRequest({ number: own, ...request }))
+        const cancel = options.at(now() + REPLY_TIMEOUT_MS, () => { finish(false, 'none') })
+        pending.set(requestNumber, { host, finish: (isReserved) => { finish(isReserved, isReserved ? 'reserved' : 'refused') } })
+        options.send(host, reservationWire.formatRequest({ number: requestNumber, ...request }))
 
         function finish (isReserved: boolean, answer: string): void {
           cancel()
-          pending.delete(own)
+          pending.delete(requestNumber)
           count('slots_asked', { answer })
           resolve(isReserved)
         }
@@ -65,9 +65,9 @@
         count('datagrams_dropped', { reason: 'bad-reservation' })
         return true
       }
-      const known = pending.get(reply.number)
-      if (known === undefined || known.host !== from) count('slots_lapsed')
-      else known.finish(reply.isReserved)
+      const request = pending.get(reply.number)
+      if (request === undefined || request.host !== from) count('slots_lapsed')
+      else request.finish(reply.isReserved)
       return true
     }
   }
--- a/packages/gateway/src/createReservationClient/test.ts
+++ b/packages/gateway/src/createReservationClient/test.ts
@@ -18,7 +18,7 @@
   readonly counts: string[]
 }
 
-/** A gateway and an agent that has some slots; datagrams are passed on unless one is to be lost. */
+/** Connects a client and the server of an agent with some slots; datagrams for which `isLost` holds are dropped. */
 function open (slots: number, isLost: (bytes: Buffer) => boolean = () => false): Opened {
   const asked: unknown[] = []
   const counts: string[] = []
@@ -44,7 +44,7 @@
   return { client, asked, counts }
 }
 
-nodeTest.test('an agent is asked for a slot and answers whether there is one', async () => {
+nodeTest.test('an agent replies whether it reserved the requested slot', async () => {
   const { client, asked, counts } = open(1)
   assert.equal(await client.reserve(BACK_END, REQUEST), true)
   assert.equal(await client.reserve(BACK_END, REQUEST), false)
@@ -52,7 +52,7 @@
   assert.deepEqual(counts, ['slots_answered reserved', 'slots_asked reserved', 'slots_answered refused', 'slots_asked refused'])
 })
 
-nodeTest.test('a call whose agent does not answer is told so soon, and an answer that comes later changes nothing', async (context) => {
+nodeTest.test('a request without a reply fails soon, and a later reply has no effect', async (context) => {
   context.mock.timers.enable({ apis: ['setTimeout', 'Date'] })
   let late: Buffer = Buffer.alloc(0)
   const { client, counts } = open(1, (bytes) => {
@@ -68,7 +68,7 @@
   assert.deepEqual(counts, ['slots_answered reserved', 'slots_asked none', 'slots_lapsed'])
 })
 
-nodeTest.test('an answer of another host is not taken, and bytes that can\'t be read are counted', async (context) => {
+nodeTest.test('a reply from another host is ignored, and invalid datagrams are counted', async (context) => {
   context.mock.timers.enable({ apis: ['setTimeout', 'Date'] })
   const { client, counts } = open(1, () => true)
   const reserved = client.reserve(BACK_END, REQUEST)
@@ -80,7 +80,7 @@
   assert.deepEqual(counts, ['slots_lapsed', 'datagrams_dropped bad-reservation', 'slots_asked none'])
 })
 
-nodeTest.test('what is written is read back, and any other bytes are neither request nor answer', () => {
+nodeTest.test('formatted messages are decoded, and other bytes are neither request nor reply', () => {
   fastCheck.assert(fastCheck.property(fastCheck.nat(), fastCheck.nat(), fastCheck.nat(), fastCheck.boolean(), (number, promptTokens, withinMs, isReserved) => {
     assert.deepEqual(reservationWire.decodeRequest(reservationWire.formatRequest({ number, promptTokens, withinMs })), { number, promptTokens, withinMs })
     assert.deepEqual(reservationWire.decodeReply(reservationWire.formatReply({ number, isReserved })), { number, isReserved })
--- a/packages/gateway/src/createReservationServer/index.ts
+++ b/packages/gateway/src/createReservationServer/index.ts
@@ -1,25 +1,25 @@
-/** Answers gateways that ask for slots of the engine beside an agent, by datagrams. */
+/** Answers gateways that request slots of an agent's engine, over datagrams. */
 import type * as createSlotReservations from '../createSlotReservations/index.js'
 import * as reservationWire from '../_lib/reservationWire.js'
 
 /** Options of {@link createReservationServer}. */
 export interface ReservationServerOptions {
-  /** Reserves a slot, if there is one. */
+  /** Reserves a slot if one is free. */
   readonly reserve: (request: createSlotReservations.SlotRequest) => boolean
   readonly send: (host: string, bytes: Buffer) => void
   readonly count: (name: string, labels?: Readonly<Record<string, string>>) => void
 }
 
-/** The server of one agent. */
+/** The reservation server of one agent. */
 export interface ReservationServer {
-  /** Takes a datagram; false if it is no request. */
+  /** Handles a datagram; false if it is not a reservation request. */
   readonly receive: (bytes: Buffer, from: string) => boolean
 }
 
 /**
  * Creates the server.
  *
- * @param options - The engine's slots, and the way back.
+ * @param options - Slots of the engine, transport to the gateways, and counters.
  * @returns The server.
  */
 export function createReservationServer ({ reserve, send, count }: ReservationServerOptions): ReservationServer {
--- a/packages/gateway/src/createRetryBudget/index.ts
+++ b/packages/gateway/src/createRetryBudget/index.ts
@@ -1,56 +1,56 @@
-/** Bounds the arrivals at a service beyond the first of each call, over all gateways together. */
+/** Limits retries: requests that reach a service beyond the first attempt of each call, summed over all gateways. */
 
 /** Limits that all gateways share. */
 export interface RetryBudgetLimits {
-  /** Extra arrivals as a share of calls. */
+  /** Retries as a fraction of calls. */
   readonly ratio: number
-  /** Extra arrivals in a window beyond that share. */
+  /** Retries allowed per window beyond that fraction. */
   readonly slack: number
   readonly windowMs: number
 }
 
-/** The part of one gateway in the budget of one service. */
+/** One gateway's share of a service's retry budget. */
 export interface RetryBudget {
   readonly noteCall: () => void
-  /** Takes one extra arrival if the window has room for it. */
+  /** Spends one retry if the window has room for it. */
   readonly trySpend: () => boolean
 }
 
-/** Part of the shared limits that gateways use, so that windows that do not line up still keep them. */
-const SAFETY_PART = 0.6
+/** Fraction of the shared limits that gateways use, so that the limits also hold over windows that are not aligned. */
+const SAFETY_FRACTION = 0.6
 
 /**
- * Creates the part of one gateway. Calls earn by its own traffic; the slack is split evenly over the gateways.
+ * Creates one gateway's share. The fraction applies to its own calls; the fixed allowance is divided evenly among the gateways.
  *
  * @param limits - The shared limits.
- * @param countGateways - Reads how many gateways may be alive, this one included.
+ * @param countGateways - Returns how many gateways may be alive, including this one.
  * @param now - Monotonic clock in milliseconds.
- * @returns The budget; a new life begins without the slack of its first window, since an earlier life may have spent it.
+ * @returns The budget. A restarted gateway has no fixed allowance in its first window, because the previous process may have spent it.
  */
 export function createRetryBudget (limits: RetryBudgetLimits, countGateways: () => number, now: () => number): RetryBudget {
   const calls: number[] = []
   const spent: number[] = []
   const startedAt = now()
 
-  function expire (times: number[]): void {
+  function removeExpired (times: number[]): void {
     const oldest = now() - limits.windowMs
-    let gone = 0
-    while (gone < times.length && (times[gone] as number) < oldest) gone += 1
-    if (gone > 0) times.splice(0, gone)
+    let expiredCount = 0
+    while (expiredCount < times.length && (times[expiredCount] as number) < oldest) expiredCount += 1
+    if (expiredCount > 0) times.splice(0, expiredCount)
   }
 
-  function allowed (): number {
-    expire(calls)
+  function computeAllowance (): number {
+    removeExpired(calls)
     const isFirstWindow = now() - startedAt < limits.windowMs
     const slack = isFirstWindow ? 0 : limits.slack / Math.max(1, countGateways())
-    return SAFETY_PART * (limits.ratio * calls.length + slack)
+    return SAFETY_FRACTION * (limits.ratio * calls.length + slack)
   }
 
   return {
     noteCall: () => { calls.push(now()) },
     trySpend: () => {
-      expire(spent)
-      if (spent.length + 1 > allowed()) return false
+      removeExpired(spent)
+      if (spent.length + 1 > computeAllowance()) return false
       spent.push(now())
       return true
     }
--- a/packages/gateway/src/createRetryBudget/test.ts
+++ b/packages/gateway/src/createRetryBudget/test.ts
@@ -24,7 +24,7 @@
   assert.ok(extras.length > 0)
 })
 
-nodeTest.test('a new life has no slack in its first window, since the life before may have spent it', () => {
+nodeTest.test('a restarted gateway has no slack in its first window, because the previous process may have spent it', () => {
   let now = 0
   const budget = createRetryBudget.createRetryBudget(LIMITS, () => 1, () => now)
   assert.equal(budget.trySpend(), false)
--- a/packages/gateway/src/createRouteTable/index.ts
+++ b/packages/gateway/src/createRouteTable/index.ts
@@ -1,15 +1,15 @@
-/** Finds the route and the tenant of a call in one configuration. */
+/** Looks up the route, tenant and service of a call in one configuration. */
 import type * as types from '@switchridge/types'
 import type * as gateway from '../types/index.js'
 
-/** Lookups in one configuration. */
+/** Index of one configuration. */
 export interface RouteTable {
   readonly configuration: gateway.Configuration
-  /** The route of the host with the longest prefix that begins the path. */
+  /** Finds the route of the host with the longest matching path prefix. */
   readonly findRoute: (host: string, path: string) => gateway.Route | null
   readonly findTenant: (key: string) => gateway.Tenant | null
   readonly findService: (name: types.ServiceName) => gateway.Service | null
-  /** Whether calls need a key unless their route is public. */
+  /** Whether calls need an API key unless their route is public. */
   readonly needsKeys: boolean
 }
 
@@ -17,7 +17,7 @@
  * Indexes a configuration.
  *
  * @param configuration - The configuration.
- * @returns Its lookups.
+ * @returns Its index.
  */
 export function createRouteTable (configuration: gateway.Configuration): RouteTable {
   const routesByHost = new Map<string, gateway.Route[]>()
--- a/packages/gateway/src/createSharedTargets/index.ts
+++ b/packages/gateway/src/createSharedTargets/index.ts
@@ -1,48 +1,47 @@
-/** Finds the target by which calls of one service are admitted alike, whatever longer targets some of them have. */
+/** Finds the common target used to admit competing calls of one service, even if some of them have longer targets. */
 import type * as types from '@switchridge/types'
 
-/** What is known of a call's kind. */
-export interface CallKind {
+/** Properties of a call that decide which other calls it competes with. */
+export interface CallClass {
   readonly service: types.ServiceName
   /** 0 is the highest. */
   readonly priority: number
-  /** Milliseconds within which the first event is in time. */
+  /** Milliseconds within which the first event counts as in time. */
   readonly targetMs: number
 }
 
-/** Targets that calls share. */
+/** Targets shared by competing calls. */
 export interface SharedTargets {
-  /** Notes a call; returns the milliseconds by which it is admitted. */
-  readonly note: (kind: CallKind) => number
+  /** Records a call; returns the target in milliseconds to admit it by. */
+  readonly note: (callClass: CallClass) => number
 }
 
-/** A kind that nobody asked for during so long competes with none. */
-const KEPT_MS = 5000
-/** A seldom kind with a very short target does not keep all others out: nobody is held to less than this part of the own target. */
-const LEAST_PART = 0.6
+/** A class without a call for this long no longer affects others. */
+const CLASS_EXPIRY_MS = 5000
+/** Lower bound as a fraction of a call's own target, so that a rare class with a very short target does not exclude all others. */
+const MINIMUM_TARGET_FRACTION = 0.6
 
 /**
- * Creates the record of targets. While a queue stands, whoever may wait longest would take every place; so
- * calls of one urgency are held to the shortest target.
- * A less urgent call is held to the targets of the more urgent ones, too; a more urgent one never to those of the less urgent.
+ * Creates the shared targets. While a queue stands, calls with the longest targets would take every slot, so all calls of the same priority are admitted
+ * by the shortest target. Targets of higher-priority calls also apply to lower-priority ones, but not the reverse.
  *
  * @param now - Monotonic clock in milliseconds.
- * @returns The record.
+ * @returns The shared targets.
  */
 export function createSharedTargets (now: () => number): SharedTargets {
-  const seenAt = new Map<types.ServiceName, Map<string, { readonly kind: CallKind, at: number }>>()
+  const classesByService = new Map<types.ServiceName, Map<string, { readonly kind: CallClass, at: number }>>()
 
   return {
-    note: (kind) => {
-      const kinds = seenAt.get(kind.service) ?? new Map<string, { readonly kind: CallKind, at: number }>()
-      seenAt.set(kind.service, kinds)
-      kinds.set(`${kind.priority}/${kind.targetMs}`, { kind, at: now() })
-      let sharedMs = kind.targetMs
-      for (const [key, other] of kinds) {
-        if (now() - other.at > KEPT_MS) kinds.delete(key)
-        else if (other.kind.priority <= kind.priority) sharedMs = Math.min(sharedMs, other.kind.targetMs)
+    note: (callClass) => {
+      const classes = classesByService.get(callClass.service) ?? new Map<string, { readonly kind: CallClass, at: number }>()
+      classesByService.set(callClass.service, classes)
+      classes.set(`${callClass.priority}/${callClass.targetMs}`, { kind: callClass, at: now() })
+      let sharedMs = callClass.targetMs
+      for (const [key, other] of classes) {
+        if (now() - other.at > CLASS_EXPIRY_MS) classes.delete(key)
+        else if (other.kind.priority <= callClass.priority) sharedMs = Math.min(sharedMs, other.kind.targetMs)
       }
-      return Math.max(sharedMs, kind.targetMs * LEAST_PART)
+      return Math.max(sharedMs, callClass.targetMs * MINIMUM_TARGET_FRACTION)
     }
   }
 }
--- a/packages/gateway/src/createSharedTargets/test.ts
+++ b/packages/gateway/src/createSharedTargets/test.ts
@@ -6,7 +6,7 @@
 const service = types.brandId<types.ServiceName>('llm')
 const other = types.brandId<types.ServiceName>('stock')
 
-nodeTest.test('calls of one service and urgency share the shortest target that is asked for', () => {
+nodeTest.test('calls of one service and priority share the shortest target in use', () => {
   const targets = createSharedTargets.createSharedTargets(() => 0)
   assert.equal(targets.note({ service, priority: 1, targetMs: 500 }), 500)
   assert.equal(targets.note({ service, priority: 1, targetMs: 400 }), 400)
@@ -14,7 +14,7 @@
   assert.equal(targets.note({ service: other, priority: 1, targetMs: 500 }), 500)
 })
 
-nodeTest.test('a less urgent call goes by the targets of the more urgent ones, and not the other way round', () => {
+nodeTest.test('higher-priority targets apply to lower-priority calls, but not the reverse', () => {
   const targets = createSharedTargets.createSharedTargets(() => 0)
   targets.note({ service, priority: 1, targetMs: 400 })
   assert.equal(targets.note({ service, priority: 2, targetMs: 500 }), 400)
@@ -22,7 +22,7 @@
   assert.equal(targets.note({ service, priority: 1, targetMs: 400 }), 400)
 })
 
-nodeTest.test('a target that nobody asks for any more is forgotten, and a very short one binds others only in part', () => {
+nodeTest.test('an unused target expires, and a very short one shortens others only to a fraction', () => {
   let time = 0
   const targets = createSharedTargets.createSharedTargets(() => time)
   targets.note({ service, priority: 1, targetMs: 50 })
--- a/packages/gateway/src/createSlotReservations/index.ts
+++ b/packages/gateway/src/createSlotReservations/index.ts
@@ -1,20 +1,20 @@
-/** Reserves slots of one engine for calls that gateways are about to send, by a report that is newer than those they have. */
+/** Reserves slots of one engine for calls that gateways are about to send, based on a newer report than the gateways have. */
 import type * as createBackEndBook from '../createBackEndBook/index.js'
 import * as predictFirstEvent from '../predictFirstEvent/index.js'
 import type * as gateway from '../types/index.js'
 
-/** A call that asks for a slot. */
+/** A request for a slot. */
 export interface SlotRequest {
   readonly promptTokens: number
-  /** Milliseconds within which its first event is in time. */
+  /** Milliseconds within which the first event counts as in time. */
   readonly withinMs: number
 }
 
 /** The reservations of one engine. */
 export interface SlotReservations {
-  /** Notes a report that was read just now; reservations before it count in its figures. */
+  /** Records a report that was just read; it already counts calls whose reservations are older than the arrival timeout. */
   readonly noteReport: (report: gateway.EngineReport | null) => void
-  /** Reserves a slot for a call that is sent at once; false when it would wait or come late. */
+  /** Reserves a slot for a call to be sent at once; false if the call would be queued or late. */
   readonly reserve: (request: SlotRequest, figures: gateway.EngineFigures) => boolean
 }
 
@@ -24,14 +24,14 @@
 }
 
 /** A call reaches its engine within this time after its reservation. */
-const ARRIVAL_MS = 30
-/** An older report tells too little. */
-const REPORT_FRESH_MS = 800
-/** Calls that ask for no reservation arrive too, so the first event must be predicted within this part of the time. */
-const TIME_PART = 0.6
-/** The agent is the only one that reserves slots of its engine. */
-const SINGLE = 1
-const NONE_OPEN: createBackEndBook.BackEndLoad['open'] = new Set()
+const ARRIVAL_TIMEOUT_MS = 30
+/** An older report is not used. */
+const REPORT_VALID_MS = 800
+/** The first event must be predicted within this fraction of the time, because calls without a reservation arrive too. */
+const TIME_FRACTION = 0.6
+/** Only the agent reserves slots of its engine, so no calls of other gateways have to be estimated. */
+const SENDING_GATEWAYS = 1
+const NO_OPEN_ATTEMPTS: createBackEndBook.BackEndLoad['open'] = new Set()
 
 /**
  * Creates the reservations of one engine.
@@ -48,13 +48,13 @@
     noteReport: (next) => {
       report = next
       reportAt = now()
-      reserved = reserved.filter(({ at }) => now() - at <= ARRIVAL_MS)
+      reserved = reserved.filter(({ at }) => now() - at <= ARRIVAL_TIMEOUT_MS)
     },
     reserve: ({ promptTokens, withinMs }, figures) => {
-      if (report === null || report.models.size === 0 || now() - reportAt > REPORT_FRESH_MS) return false
-      const load = { report, open: NONE_OPEN, sentSince: reserved.length, promptTokensSince: reserved.reduce((sum, each) => sum + each.promptTokens, 0) }
-      const { firstEventMs, waitingBefore } = predictFirstEvent.predictFirstEvent(figures, figures.slots, load, promptTokens, SINGLE)
-      if (waitingBefore > 0 || firstEventMs > withinMs * TIME_PART) return false
+      if (report === null || report.models.size === 0 || now() - reportAt > REPORT_VALID_MS) return false
+      const load = { report, open: NO_OPEN_ATTEMPTS, sentSinceReport: reserved.length, promptTokensSinceReport: reserved.reduce((sum, each) => sum + each.promptTokens, 0) }
+      const { firstEventMs, queuedAhead } = predictFirstEvent.predictFirstEvent(figures, figures.slots, load, promptTokens, SENDING_GATEWAYS)
+      if (queuedAhead > 0 || firstEventMs > withinMs * TIME_FRACTION) return false
       reserved.push({ promptTokens, at: now() })
       return true
     }
--- a/packages/gateway/src/createSlotReservations/test.ts
+++ b/packages/gateway/src/createSlotReservations/test.ts
@@ -19,7 +19,7 @@
   return Object.assign(opened, { slots, reserve: (change = {}) => slots.reserve({ ...REQUEST, ...change }, FIGURES) })
 }
 
-nodeTest.test('a slot is reserved once, and free again when a later report does not show its call', () => {
+nodeTest.test('a slot is reserved once, and free again if a later report does not include its call', () => {
   const opened = open(createReport(3))
   assert.equal(opened.reserve(), true)
   assert.equal(opened.reserve(), false)
@@ -28,7 +28,7 @@
   assert.equal(opened.reserve(), true)
 })
 
-nodeTest.test('a call that may still be on its way to the engine counts beside the report', () => {
+nodeTest.test('a reserved call that may not have reached the engine yet is added to the report', () => {
   const opened = open(createReport(3))
   opened.time = 190
   assert.equal(opened.reserve(), true)
@@ -37,7 +37,7 @@
   assert.equal(opened.reserve(), false)
 })
 
-nodeTest.test('nothing is reserved for a call that would come late, by its own prompt or by those before it', () => {
+nodeTest.test('no slot is reserved for a call that would be late because of its own prompt or earlier ones', () => {
   assert.equal(open(createReport(0)).reserve({ promptTokens: 4000 }), false)
   assert.equal(open(createReport(0)).reserve({ withinMs: 150 }), false)
   const opened = open(createReport(0))
@@ -45,7 +45,7 @@
   assert.equal(open(createReport(1, 3)).reserve(), false)
 })
 
-nodeTest.test('nothing is reserved without a fresh report of an engine that holds weights', () => {
+nodeTest.test('no slot is reserved without a recent report of an engine that holds weights', () => {
   assert.equal(open(null).reserve(), false)
   assert.equal(open({ ...createReport(0), models: new Map() }).reserve(), false)
   const opened = open(createReport(0))
--- a/packages/gateway/src/decideAdmission/index.ts
+++ b/packages/gateway/src/decideAdmission/index.ts
@@ -1,70 +1,70 @@
-/** Decides whether a call is taken now, or refused at once with a time to come back. */
+/** Decides whether a call is admitted now, or refused at once with a time to retry. */
 
-/** What the decision depends on. */
+/** Input of the decision. */
 export interface AdmissionInput {
-  /** Predicted milliseconds until the first event at the best back end; long prompts evened out, so that they are taken under load, too. */
+  /** Predicted milliseconds until the first event at the best back end; long prompts are discounted, so that they are admitted under load too. */
   readonly firstEventMs: number
-  /** Requests that would wait there before this one. */
-  readonly waitingBefore: number
-  /** Part of the places taken at all back ends that may serve the call. */
-  readonly takenPart: number
-  /** Milliseconds by which calls just served began later than predicted. */
+  /** Requests that would be queued there before this one. */
+  readonly queuedAhead: number
+  /** Occupied fraction of the slots of all back ends that may serve the call; queued requests count. */
+  readonly utilization: number
+  /** Milliseconds by which recent calls began later than predicted. */
   readonly errorMs: number
-  /** Milliseconds within which the first event is in time; the same for all calls that compete for a place with equal right. */
+  /** Milliseconds within which the first event counts as in time; the same for all calls that compete for slots with equal priority. */
   readonly targetMs: number
   /** Milliseconds since the caller's first try. */
-  readonly spentMs: number
-  /** Milliseconds until the call must end. */
+  readonly elapsedMs: number
+  /** Milliseconds until the call's deadline. */
   readonly remainingMs: number
-  /** Random number from 0 to 1; spreads the callers that come back. */
+  /** Random number from 0 to 1; spreads the retries of callers. */
   readonly random: number
 }
 
-/** Taken, or refused until later. */
+/** Admitted, or refused with a time to retry. */
 export type Admission =
-  | { readonly isTaken: true }
-  | { readonly isTaken: false, readonly retryAfterMs: number }
+  | { readonly isAdmitted: true }
+  | { readonly isAdmitted: false, readonly retryAfterMs: number }
 
 /**
- * While less of all places is taken, any call is taken that need not wait: what makes calls late then passes, and a refusal would waste the room. All places
- * count, not those of the chosen one: reports are old, so a large fleet always knows of an engine that was half empty, and all its gateways would
- * send there.
+ * Below this utilization any call is admitted that would not be queued: whatever makes calls late then passes, and a refusal would waste free slots. The
+ * slots of all back ends count, not those of the chosen one: reports are old, so in a large fleet some engine always appears half empty, and all
+ * gateways would send their calls there.
  */
-const ROOM_PART = 0.5
+const LOW_UTILIZATION = 0.5
 /**
- * A caller that may still be in time comes back within these milliseconds: another gateway, or the next report, may know of a place. The target counts
- * from the first try, so a longer pause makes its answer late.
+ * Range of the retry time for a caller that may still be served in time: another gateway, or the next report, may know of a free slot. The target counts
+ * from the first try, so a longer pause would make the response late.
  */
-const SOON_MINIMUM_MS = 60
-const SOON_MAXIMUM_MS = 150
-/** A caller that will be late anyway is told when the queue may have gone. */
-const RETRY_MINIMUM_MS = 250
-const RETRY_MAXIMUM_MS = 1500
-const SPREAD_PART = 0.5
-/** Callers come back at the latest after this part of the time that is left. */
-const REMAINING_PART = 0.3
+const TIMELY_RETRY_MINIMUM_MS = 60
+const TIMELY_RETRY_MAXIMUM_MS = 150
+/** Range of the retry time for a caller that will be late in any case; by then the queue may have drained. */
+const LATE_RETRY_MINIMUM_MS = 250
+const LATE_RETRY_MAXIMUM_MS = 1500
+const JITTER_FRACTION = 0.5
+/** The retry time is at most this fraction of the time left until the deadline. */
+const REMAINING_FRACTION = 0.3
 
 /**
  * Decides on a call before its first attempt.
  *
  * @param input - Prediction, target and time left.
- * @returns Whether it is taken, or when the caller may come back.
+ * @returns Whether the call is admitted, or when the caller may retry.
  */
 export function decideAdmission (input: AdmissionInput): Admission {
-  const hasRoom = input.waitingBefore === 0 && input.takenPart < ROOM_PART
-  if (hasRoom || input.firstEventMs + input.errorMs <= input.targetMs) return { isTaken: true }
-  return { isTaken: false, retryAfterMs: computeRetryAfter(input) }
+  const isUncontended = input.queuedAhead === 0 && input.utilization < LOW_UTILIZATION
+  if (isUncontended || input.firstEventMs + input.errorMs <= input.targetMs) return { isAdmitted: true }
+  return { isAdmitted: false, retryAfterMs: computeRetryAfterMs(input) }
 }
 
-/** Milliseconds after which a place may be free, soon enough for an answer in time while that is possible. */
-function computeRetryAfter (input: AdmissionInput): number {
-  const soonMs = SOON_MINIMUM_MS + (SOON_MAXIMUM_MS - SOON_MINIMUM_MS) * input.random
-  const mayBeInTime = input.spentMs + soonMs < input.targetMs
-  const retryMs = mayBeInTime ? soonMs : computeQueueGone(input)
-  return Math.round(Math.min(retryMs, input.remainingMs * REMAINING_PART))
+/** Milliseconds after which a slot may be free, short enough for a response in time while that is possible. */
+function computeRetryAfterMs (input: AdmissionInput): number {
+  const timelyRetryMs = TIMELY_RETRY_MINIMUM_MS + (TIMELY_RETRY_MAXIMUM_MS - TIMELY_RETRY_MINIMUM_MS) * input.random
+  const canMeetTarget = input.elapsedMs + timelyRetryMs < input.targetMs
+  const retryMs = canMeetTarget ? timelyRetryMs : computeLateRetryMs(input)
+  return Math.round(Math.min(retryMs, input.remainingMs * REMAINING_FRACTION))
 }
 
-function computeQueueGone ({ firstEventMs, errorMs, targetMs, random }: AdmissionInput): number {
-  const lateMs = Math.max(RETRY_MINIMUM_MS, firstEventMs + errorMs - targetMs)
-  return Math.min(RETRY_MAXIMUM_MS, lateMs * (1 + SPREAD_PART * random))
+function computeLateRetryMs ({ firstEventMs, errorMs, targetMs, random }: AdmissionInput): number {
+  const lateMs = Math.max(LATE_RETRY_MINIMUM_MS, firstEventMs + errorMs - targetMs)
+  return Math.min(LATE_RETRY_MAXIMUM_MS, lateMs * (1 + JITTER_FRACTION * random))
 }
--- a/packages/gateway/src/decideAdmission/size.test.ts
+++ b/packages/gateway/src/decideAdmission/size.test.ts
@@ -1,36 +1,36 @@
-/** Overload of a large fleet, whose gateways hear of engines seldom. */
+/** Overload of large fleets, whose gateways receive engine reports less often. */
 import * as assert from 'node:assert/strict'
 import * as nodeTest from 'node:test'
 import * as loadSimulation from '../_lib/loadSimulation.js'
 
-/** Engines of eight slots that read and write more slowly than those of the smaller sites. */
-const FIGURES = { ...loadSimulation.FIGURES, slots: 8, stepMs: 13.9, prefillTokensPerMs: 13.8, usualAnswerTokens: 71 }
-const FLEET = { halls: 5, gateways: 98, engines: 84, seconds: 12, figures: FIGURES, reportsMs: { near: 700, far: 2200 } }
-/** 40 gateways before 45 engines of 12 slots, whose callers come back once. */
-const MIDDLE_FIGURES = { ...loadSimulation.FIGURES, slots: 12, stepMs: 8.87, stepMsPerSequence: 0.0388, prefillTokensPerMs: 19.1, usualPromptTokens: 900, usualAnswerTokens: 97 }
-const MIDDLE_FLEET = { halls: 3, gateways: 40, engines: 45, seconds: 12, figures: MIDDLE_FIGURES, reportsMs: { near: 500, far: 1100 }, areReturning: true }
-const MIDDLE_LOADS = [230, 300, 380, 450]
-const TWICE_LOADS = [300, 600]
-const LOADS = [200, 300, 500]
-const KEPT_PART = 0.9
+/** Engines with eight slots that read prompts and generate tokens more slowly than the default ones. */
+const LARGE_ENGINES = { ...loadSimulation.FIGURES, slots: 8, stepMs: 13.9, prefillTokensPerMs: 13.8, usualAnswerTokens: 71 }
+const LARGE_FLEET = { halls: 5, gateways: 98, engines: 84, seconds: 12, figures: LARGE_ENGINES, reportIntervalsMs: { near: 700, far: 2200 } }
+/** 40 gateways and 45 engines with 12 slots; callers retry once. */
+const MEDIUM_ENGINES = { ...loadSimulation.FIGURES, slots: 12, stepMs: 8.87, stepMsPerSequence: 0.0388, prefillTokensPerMs: 19.1, usualPromptTokens: 900, usualAnswerTokens: 97 }
+const MEDIUM_FLEET = { halls: 3, gateways: 40, engines: 45, seconds: 12, figures: MEDIUM_ENGINES, reportIntervalsMs: { near: 500, far: 1100 }, doCallersRetry: true }
+const MEDIUM_LOADS = [230, 300, 380, 450]
+const DOUBLED_LOADS = [300, 600]
+const LARGE_LOADS = [200, 300, 500]
+const PEAK_FRACTION = 0.9
 
 function check (context: nodeTest.TestContext, results: readonly loadSimulation.LoadResult[]): void {
   for (const { asked, inTime, late, refused } of results) context.diagnostic(`${asked.toFixed(1)} asked a second: ${inTime.toFixed(1)} in time, ${late.toFixed(1)} late, ${refused.toFixed(1)} refused`)
   const peak = Math.max(...results.map(({ inTime }) => inTime))
   const last = results.at(-1)?.inTime ?? 0
-  assert.ok(last >= KEPT_PART * peak, `${last} of ${peak} a second in time`)
+  assert.ok(last >= PEAK_FRACTION * peak, `${last} of ${peak} a second in time`)
 }
 
-/** Each call admitted by the room of the engine chosen for it: 226 a second in time at 300 asked, and 161 at 500. */
-nodeTest.test('answers in time of 98 gateways before 84 engines do not fall while more is asked than engines can do', (context) => {
-  check(context, LOADS.map((callsPerSecond) => loadSimulation.playLoad({ ...FLEET, callsPerSecond })))
+/** Guards against admission by the free slots of the chosen engine alone: it served 226 calls per second in time at 300 asked, but 161 at 500. */
+nodeTest.test('responses in time of 98 gateways with 84 engines do not fall under overload', (context) => {
+  check(context, LARGE_LOADS.map((callsPerSecond) => loadSimulation.simulateLoad({ ...LARGE_FLEET, callsPerSecond })))
 })
 
-/** The same: 257 a second in time at 300 asked, and 181 at 380. */
-nodeTest.test('answers in time of 40 gateways before 45 engines do not fall while callers come back', (context) => {
-  check(context, MIDDLE_LOADS.map((callsPerSecond) => loadSimulation.playLoad({ ...MIDDLE_FLEET, callsPerSecond })))
+/** The same failure: 257 calls per second in time at 300 asked, but 181 at 380. */
+nodeTest.test('responses in time of 40 gateways with 45 engines do not fall while callers retry', (context) => {
+  check(context, MEDIUM_LOADS.map((callsPerSecond) => loadSimulation.simulateLoad({ ...MEDIUM_FLEET, callsPerSecond })))
 })
 
-nodeTest.test('answers in time of 40 gateways before 45 engines do not fall at twice what engines can do', (context) => {
-  check(context, TWICE_LOADS.map((callsPerSecond) => loadSimulation.playLoad({ ...MIDDLE_FLEET, callsPerSecond })))
+nodeTest.test('responses in time of 40 gateways with 45 engines do not fall at twice the capacity of the engines', (context) => {
+  check(context, DOUBLED_LOADS.map((callsPerSecond) => loadSimulation.simulateLoad({ ...MEDIUM_FLEET, callsPerSecond })))
 })
--- a/packages/gateway/src/predictFirstEvent/index.ts
+++ b/packages/gateway/src/predictFirstEvent/index.ts
@@ -2,52 +2,52 @@
 import type * as gateway from '../types/index.js'
 import type * as createBackEndBook from '../createBackEndBook/index.js'
 
-/** What the prediction says. */
+/** A prediction. */
 export interface Prediction {
   /** Milliseconds until the first event. */
   readonly firstEventMs: number
-  /** The same with half of what the prompt exceeds the usual one by, to decide by whether the call is taken. */
-  readonly evenedFirstEventMs: number
-  /** Requests beyond the engine's slots that would wait before this one. */
-  readonly waitingBefore: number
+  /** The same with half of the prompt's excess over the usual length discounted; admission uses it. */
+  readonly discountedFirstEventMs: number
+  /** Requests beyond the engine's slots that would be queued before this one. */
+  readonly queuedAhead: number
 }
 
-const EVENT_TOKENS = 5
-/** Calls of each other gateway since the report, in parts of this one's: they choose alike, but not the same. */
-const OTHERS_PART = 0.4
+const TOKENS_PER_EVENT = 5
+/** Assumed number of calls of each other gateway since the report, as a fraction of this gateway's calls: the gateways choose by the same rules, but not identically. */
+const OTHER_GATEWAYS_FRACTION = 0.4
 /**
- * Long prompts would be refused most under load, and they are worth most. With their whole excess left out they would take so much that all calls together
- * were served worse; so half of it is.
+ * Discount on the time to read the part of a prompt beyond the usual length. Without it, long prompts would be refused most under load, although they
+ * are worth most; with the whole excess discounted, they would take so much capacity that calls as a whole were served worse.
  */
-const EVENED_PART = 0.5
-/** Part of a prompt that is still to be read, on average, for a request that was sent moments ago. */
-const UNREAD_PART = 0.7
+const EXCESS_DISCOUNT = 0.5
+/** Average fraction of the prompt that is still unread for a request sent a moment ago. */
+const UNREAD_FRACTION = 0.7
 
 /**
- * Predicts the first event of a call at one engine, from its last report and what this gateway sent it since.
+ * Predicts the first event of a call at one engine, from its last report and the calls that this gateway sent since.
  *
- * @param figures - Speeds of the service's engines; what an unknown one would add is left out.
- * @param slots - Requests that the engine runs at a time.
- * @param load - What this gateway knows of the engine.
+ * @param figures - Speeds of the service's engines; the contribution of an unknown speed is left out.
+ * @param slots - Requests that the engine runs concurrently.
+ * @param load - Load of the engine as this gateway sees it.
  * @param promptTokens - Length of the call's prompt.
- * @param gateways - Gateways that send to the engine, this one included; the others' calls since the report are not known.
+ * @param gateways - Number of gateways that send to the engine, including this one; the calls that the others sent since the report are estimated.
  * @returns The prediction.
  */
-export function predictFirstEvent (figures: gateway.EngineFigures, slots: number, load: Pick<createBackEndBook.BackEndLoad, 'report' | 'open' | 'sentSince' | 'promptTokensSince'>, promptTokens: number, gateways: number): Prediction {
+export function predictFirstEvent (figures: gateway.EngineFigures, slots: number, load: Pick<createBackEndBook.BackEndLoad, 'report' | 'open' | 'sentSinceReport' | 'promptTokensSinceReport'>, promptTokens: number, gateways: number): Prediction {
   const report = load.report
   const pace = Math.max(1, report?.pace ?? 1)
   const running = report?.running ?? 0
   const waiting = report?.waiting ?? 0
-  const unknownFactor = 1 + OTHERS_PART * (gateways - 1)
-  const occupied = report === null ? load.open.size * unknownFactor : running + waiting + load.sentSince * unknownFactor
-  const waitingBefore = Math.max(0, occupied + 1 - slots)
+  const gatewayFactor = 1 + OTHER_GATEWAYS_FRACTION * (gateways - 1)
+  const occupied = report === null ? load.open.size * gatewayFactor : running + waiting + load.sentSinceReport * gatewayFactor
+  const queuedAhead = Math.max(0, occupied + 1 - slots)
   const stepMs = (figures.stepMs ?? 0) + (figures.stepMsPerSequence ?? 0) * Math.min(slots, occupied)
-  const unreadTokens = load.promptTokensSince * unknownFactor * UNREAD_PART + waiting * (figures.usualPromptTokens ?? 0)
+  const unreadTokens = load.promptTokensSinceReport * gatewayFactor * UNREAD_FRACTION + waiting * (figures.usualPromptTokens ?? 0)
   const readMs = figures.prefillTokensPerMs === null ? 0 : (unreadTokens + promptTokens) / figures.prefillTokensPerMs
   const answerMs = (figures.usualAnswerTokens ?? 0) * stepMs * 2
-  const slotWaitMs = waitingBefore * answerMs / slots
-  const firstEventMs = pace * (slotWaitMs + readMs + EVENT_TOKENS * stepMs)
+  const slotWaitMs = queuedAhead * answerMs / slots
+  const firstEventMs = pace * (slotWaitMs + readMs + TOKENS_PER_EVENT * stepMs)
   const excessTokens = Math.max(0, promptTokens - (figures.usualPromptTokens ?? promptTokens))
   const excessMs = figures.prefillTokensPerMs === null ? 0 : pace * excessTokens / figures.prefillTokensPerMs
-  return { firstEventMs, evenedFirstEventMs: firstEventMs - EVENED_PART * excessMs, waitingBefore }
+  return { firstEventMs, discountedFirstEventMs: firstEventMs - EXCESS_DISCOUNT * excessMs, queuedAhead }
 }
--- a/packages/gateway/src/probeAddress/index.ts
+++ b/packages/gateway/src/probeAddress/index.ts
@@ -1,4 +1,4 @@
-/** Finds out whether anybody listens at an address. */
+/** Checks whether a process listens at an address. */
 import * as net from 'node:net'
 import type * as quarantine from '@switchridge/quarantine'
 import type * as types from '@switchridge/types'
@@ -6,9 +6,9 @@
 /**
  * Opens a connection and closes it at once.
  *
- * @param address - Where.
- * @param timeoutMs - Milliseconds after which no answer counts as silence.
- * @returns What the connection met; never rejects.
+ * @param address - The address to probe.
+ * @param timeoutMs - Milliseconds after which the probe counts as unanswered.
+ * @returns The result of the probe; never rejects.
  */
 export async function probeAddress ({ host, port }: types.Address, timeoutMs: number): Promise<quarantine.ProbeResult> {
   return await new Promise((resolve) => {
@@ -22,12 +22,12 @@
     }
 
     socket.once('connect', () => { settle('taken') })
-    socket.on('error', ({ code }: NodeJS.ErrnoException) => { settle(readError(code)) })
+    socket.on('error', ({ code }: NodeJS.ErrnoException) => { settle(classifyError(code)) })
   })
 }
 
-/** Only a machine that is up and has nobody at the port refuses; a reset comes from somebody who listens. */
-function readError (code: string | undefined): quarantine.ProbeResult {
+/** A connection is only refused by a machine that is up and has no listener at the port; a reset comes from a listening process. */
+function classifyError (code: string | undefined): quarantine.ProbeResult {
   if (code === 'ECONNREFUSED') return 'refused'
   return code === 'ECONNRESET' ? 'taken' : 'silent'
 }
--- a/packages/gateway/src/probeAddress/test.ts
+++ b/packages/gateway/src/probeAddress/test.ts
@@ -6,7 +6,7 @@
 const HOST = '127.0.0.1'
 const TIMEOUT_MS = 2000
 
-nodeTest.test('an address at which somebody listens is taken, and refused once nobody does', async () => {
+nodeTest.test('an address with a listener is taken, and refused once the listener is closed', async () => {
   const server = net.createServer((socket) => { socket.resume() })
   await new Promise<void>((resolve) => { server.listen(0, HOST, resolve) })
   const { port } = server.address() as net.AddressInfo
--- a/packages/gateway/src/readBody/index.ts
+++ b/packages/gateway/src/readBody/index.ts
@@ -1,4 +1,4 @@
-/** Reads the whole body of a message, up to a limit. */
+/** Reads the complete body of an HTTP message, up to a size limit. */
 import type * as http from 'node:http'
 
 /** A body, or why there is none. */
@@ -11,8 +11,8 @@
 /**
  * Reads a body.
  *
- * @param message - A request or an answer.
- * @param maximumBytes - Largest body that is read.
+ * @param message - A request or a response.
+ * @param maximumBytes - Size of the largest body that is accepted.
  * @returns The body, or why there is none; never rejects.
  */
 export async function readBody (message: http.IncomingMessage, maximumBytes: number): Promise<BodyOutcome> {
--- a/packages/gateway/src/sendAttempt/index.ts
+++ b/packages/gateway/src/sendAttempt/index.ts
@@ -3,73 +3,72 @@
 import type * as net from 'node:net'
 import * as types from '@switchridge/types'
 
-/** What is sent, and where. */
+/** The request to send. */
 export interface AttemptRequest {
   readonly address: types.Address
   readonly method: string
   readonly path: string
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   readonly headers: readonly string[]
   readonly body: Buffer | null
-  /** Milliseconds until a connection must stand. */
-  readonly connectMs: number
-  /** Told of the milliseconds that the connection took; not told when it never stood. */
+  /** Milliseconds within which the connection must be established. */
+  readonly connectTimeoutMs: number
+  /** Called with the milliseconds that connecting took; not called if no connection was established. */
   readonly onConnect: (tookMs: number) => void
 }
 
-/** How an attempt began. */
+/** First result of an attempt. */
 export type AttemptStart =
-  /** Nothing was sent: the connection never stood. */
+  /** Nothing was sent: no connection was established. */
   | { readonly kind: 'not-sent', readonly reason: string }
-  /** Sent, and no answer came; the call may have run. `isCut` unless what came was no answer in the protocol. */
-  | { readonly kind: 'no-answer', readonly reason: string, readonly isCut: boolean }
+  /** Sent, but no response arrived; the call may have run. `isClosedByPeer` is false if the bytes received were not an HTTP response. */
+  | { readonly kind: 'no-answer', readonly reason: string, readonly isClosedByPeer: boolean }
   | { readonly kind: 'answer', readonly response: http.IncomingMessage, readonly isFramed: boolean, readonly isWhole: () => boolean }
 
-/** An attempt under way. */
+/** An attempt in progress. */
 export interface Attempt {
   readonly start: Promise<AttemptStart>
-  /** Closes the connection at once, which ends the back end's work. */
+  /** Closes the connection at once, which stops the back end's work on the call. */
   readonly abort: () => void
 }
 
-/** A connection serves one attempt: an answer that comes late or twice can't meet another call. */
+/** Each connection serves one attempt, so that a late or duplicate response cannot be taken for that of another call. */
 const agent = new http.Agent({ keepAlive: false, maxSockets: Infinity, noDelay: true })
 
-/** Codes of the runtime's parser: bytes came that are no answer. */
-const PARSER_CODES = 'HPE_'
+/** Prefix of the error codes of the Node.js HTTP parser: the bytes received were not a response. */
+const PARSER_ERROR_PREFIX = 'HPE_'
 const STATUS_NO_CONTENT = 204
 const STATUS_NOT_MODIFIED = 304
 
 /**
- * Whether an answer tells its own end. The runtime takes a reset for the end of one that does not; only an orderly
- * end of the connection is one, and even that may come early.
+ * Whether HTTP framing marks the end of a response. Without it the end of the connection ends the response; Node.js also ends it on a reset, but only an
+ * orderly end of the connection counts, and even that may come too early.
  */
-function hasFrame (response: http.IncomingMessage, method: string): boolean {
+function hasMessageFraming (response: http.IncomingMessage, method: string): boolean {
   const { headers, statusCode } = response
   if (headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined) return true
   return method === 'HEAD' || statusCode === STATUS_NO_CONTENT || statusCode === STATUS_NOT_MODIFIED
 }
 
 /**
- * Whether a connection that ended still has its peer. The runtime reports a reset that arrives together with bytes
- * as an orderly end; only after an orderly one does the system know the other side. The address must not have
- * been read before, because the socket keeps what it read.
+ * Whether a connection that ended still knows its peer. Node.js reports a reset that arrives together with data as an orderly end, but the system only
+ * keeps the peer's address after an orderly one. The address must not have been read before, because the socket caches it.
  */
-function hasPeer (socket: net.Socket): boolean {
+function isPeerKnown (socket: net.Socket): boolean {
   return socket.remoteAddress !== undefined
 }
 
 /**
  * Sends an attempt.
  *
- * @param request - What is sent, and where.
- * @returns The attempt; `start` resolves with the head of the answer, and never rejects.
+ * @param request - The request to send.
+ * @returns The attempt; `start` resolves with the head of the response, and never rejects.
  */
 export function sendAttempt (request: AttemptRequest): Attempt {
   const startedAt = performance.now()
   let isConnected = false
   let hasFailed = false
-  let hasEnded = false
+  let hasEndedOrderly = false
   let settle: (start: AttemptStart) => void = () => {}
   const start = new Promise<AttemptStart>((resolve) => { settle = resolve })
   const outgoing = http.request({
@@ -82,16 +81,16 @@
     setHost: false,
     insecureHTTPParser: false
   })
-  const connectTimer = setTimeout(() => { outgoing.destroy(new types.UnavailableError('no connection in time')) }, request.connectMs)
+  const connectTimer = setTimeout(() => { outgoing.destroy(new types.UnavailableError('no connection in time')) }, request.connectTimeoutMs)
 
-  function fail (reason: string, isCut: boolean): void {
+  function fail (reason: string, isClosedByPeer: boolean): void {
     clearTimeout(connectTimer)
-    settle(isConnected ? { kind: 'no-answer', reason, isCut } : { kind: 'not-sent', reason })
+    settle(isConnected ? { kind: 'no-answer', reason, isClosedByPeer } : { kind: 'not-sent', reason })
   }
 
   outgoing.on('socket', (socket: net.Socket) => {
     socket.prependListener('error', () => { hasFailed = true })
-    socket.prependListener('end', () => { hasEnded = hasPeer(socket) })
+    socket.prependListener('end', () => { hasEndedOrderly = isPeerKnown(socket) })
     socket.once('connect', () => {
       isConnected = true
       request.onConnect(performance.now() - startedAt)
@@ -100,10 +99,10 @@
   })
   outgoing.on('response', (response) => {
     response.on('error', () => {})
-    const isFramed = hasFrame(response, request.method)
-    settle({ kind: 'answer', response, isFramed, isWhole: () => response.complete && (isFramed || (hasEnded && !hasFailed)) })
+    const isFramed = hasMessageFraming(response, request.method)
+    settle({ kind: 'answer', response, isFramed, isWhole: () => response.complete && (isFramed || (hasEndedOrderly && !hasFailed)) })
   })
-  outgoing.on('error', (error: NodeJS.ErrnoException) => { fail(types.describeError(error), error.code?.startsWith(PARSER_CODES) !== true) })
+  outgoing.on('error', (error: NodeJS.ErrnoException) => { fail(types.describeError(error), error.code?.startsWith(PARSER_ERROR_PREFIX) !== true) })
   outgoing.on('close', () => { fail('connection closed', true) })
   if (request.body === null) outgoing.end()
   else outgoing.end(request.body)
--- a/packages/gateway/src/sendAttempt/test.ts
+++ b/packages/gateway/src/sendAttempt/test.ts
@@ -11,7 +11,7 @@
 const RESET_AFTER_MS = 3
 const UNFRAMED = 'HTTP/1.1 200 OK\r\nRequest-Id: r\r\n\r\nanswe'
 
-/** A back end whose answer has no length; `finish` ends its connection. */
+/** Starts a back end whose response has no length; `finish` ends its connection. */
 async function openBackEnd (context: nodeTest.TestContext, finish: (socket: net.Socket) => void): Promise<types.Address> {
   const server = net.createServer((socket) => {
     socket.on('error', () => {})
@@ -23,7 +23,7 @@
 }
 
 async function isWholeOnce (address: types.Address): Promise<boolean> {
-  const attempt = sendAttempt.sendAttempt({ address, method: 'GET', path: '/', headers: ['Host', 'app.example'], body: null, connectMs: 5000, onConnect: () => {} })
+  const attempt = sendAttempt.sendAttempt({ address, method: 'GET', path: '/', headers: ['Host', 'app.example'], body: null, connectTimeoutMs: 5000, onConnect: () => {} })
   const start = await attempt.start
   if (start.kind !== 'answer') return false
   const body = await readBody.readBody(start.response, Infinity)
@@ -32,7 +32,7 @@
   return isWhole
 }
 
-/** How many of many attempts, some at a time, got an answer that counts as whole. */
+/** Number of attempts, several at a time, whose response counts as complete. */
 async function countWhole (address: types.Address): Promise<number> {
   let left = ATTEMPTS
   let whole = 0
@@ -45,12 +45,12 @@
   return whole
 }
 
-nodeTest.test('an answer without a length is never whole after a reset, also when bytes and reset arrive together', async (context) => {
+nodeTest.test('a response without a length is never complete after a reset, even if data and reset arrive together', async (context) => {
   const address = await openBackEnd(context, (socket) => { setTimeout(() => { socket.resetAndDestroy() }, RESET_AFTER_MS) })
   assert.equal(await countWhole(address), 0)
 })
 
-nodeTest.test('an answer without a length is whole when its connection ended in order', async (context) => {
+nodeTest.test('a response without a length is complete if its connection ended orderly', async (context) => {
   const address = await openBackEnd(context, (socket) => { socket.end() })
   assert.equal(await countWhole(address), ATTEMPTS)
 })
--- a/packages/gateway/src/types/index.ts
+++ b/packages/gateway/src/types/index.ts
@@ -1,7 +1,7 @@
-/** Shapes of the request path: configuration, back ends, calls, attempts and their outcomes. */
+/** Types of the request path: configuration, back ends, calls, attempts and their outcomes. */
 import type * as types from '@switchridge/types'
 
-/** One change of a configuration is in force as a whole. */
+/** The configuration; each version takes effect as a whole. */
 export interface Configuration {
   readonly version: number
   readonly routes: readonly Route[]
@@ -10,10 +10,10 @@
   readonly tenants: readonly Tenant[]
 }
 
-/** `repeatable`: may run more than once; `once`: at most once; `stream`: a series of events. */
+/** `repeatable`: may run more than once; `once`: runs at most once; `stream`: a stream of events. */
 export type RouteKind = 'repeatable' | 'once' | 'stream'
 
-/** Which calls go to which service, and how. */
+/** Selects calls by host and path, and says which services serve them and how. */
 export interface Route {
   readonly name: string
   readonly host: string
@@ -21,22 +21,22 @@
   readonly pathPrefix: string
   readonly kind: RouteKind
   readonly timeoutMs: number
-  /** Milliseconds within which an answer, or the first event of a stream, is in time; the timeout where no target is set. */
+  /** Milliseconds within which a response, or the first event of a stream, counts as in time; the timeout if no target is configured. */
   readonly targetMs: number
   /** 0 is the highest. */
   readonly priority: number
   readonly splits: readonly ServiceSplit[]
-  /** Back ends that one call may be sent to. */
+  /** Number of back ends that one call may be sent to. */
   readonly maximumAttempts: number
-  /** Whether no key is asked for. */
+  /** Whether callers need no API key. */
   readonly isPublic: boolean
-  /** Whether a stream may go on at another back end. */
+  /** Whether a broken stream may be resumed at another back end. */
   readonly isResumable: boolean
-  /** Longest pause in milliseconds between two events in time; 0 for none. */
+  /** Longest gap in milliseconds between two events that counts as in time; 0 for no target. */
   readonly gapTargetMs: number
 }
 
-/** A service's part of a route's calls. */
+/** A service's share of a route's calls. */
 export interface ServiceSplit {
   readonly service: types.ServiceName
   readonly weight: number
@@ -45,30 +45,30 @@
 /** A service that back ends belong to. */
 export interface Service {
   readonly name: types.ServiceName
-  /** Figures of the model engines; null for a plain service. */
+  /** Performance figures of the model engines; null for a plain service. */
   readonly engine: EngineFigures | null
-  /** Where weights come from, if the service is an origin. */
+  /** Address that weights are fetched from, if the service is an origin. */
   readonly originAddress: types.Address | null
 }
 
-/** How fast engines of a service are and what they hold. A speed that the platform does not tell is null, and decisions leave it out. */
+/** Speed and capacity of a service's engines. A speed that the platform does not provide is null and is left out of predictions. */
 export interface EngineFigures {
   readonly slots: number
   readonly models: readonly string[]
   readonly layers: number
   readonly chunks: number
   readonly chunkBytes: number
-  /** Milliseconds in which every running request gets one more token. */
+  /** Base duration of a step in milliseconds; each running request gets one more token per step. */
   readonly stepMs: number | null
   /** Milliseconds that each running request adds to a step. */
   readonly stepMsPerSequence: number | null
   readonly prefillTokensPerMs: number | null
-  /** Tokens that the mean prompt and the mean answer have. */
+  /** Mean prompt length and mean response length in tokens. */
   readonly usualPromptTokens: number | null
   readonly usualAnswerTokens: number | null
 }
 
-/** Bounds of what a caller may send. */
+/** Limits on callers' requests and connections. */
 export interface CallerLimits {
   readonly maximumHeaderBytes: number
   readonly maximumBodyBytes: number
@@ -76,83 +76,83 @@
   readonly idleTimeoutMs: number
 }
 
-/** A tenant and the keys that its callers show. */
+/** A client account and the API keys of its callers. */
 export interface Tenant {
   readonly name: types.AccountId
   readonly keys: readonly string[]
   readonly priority: number
 }
 
-/** Limits before the first configuration is known. */
+/** Limits that apply until the first configuration is known. */
 export const DEFAULT_CALLER_LIMITS: CallerLimits = { maximumHeaderBytes: 16_384, maximumBodyBytes: 4_194_304, headerTimeoutMs: 3000, idleTimeoutMs: 15_000 }
 
-/** A back end as service discovery lists it; it may start again under its id. */
+/** A back end as listed by service discovery; it may restart under the same id. */
 export interface BackEnd {
   readonly id: types.NodeId
-  /** When this life began, in Unix milliseconds of its own clock; null when it does not tell. */
+  /** Start time of this instance, in Unix milliseconds of its own clock; null if unknown. */
   readonly bornAt: number | null
   readonly service: types.ServiceName
   readonly address: types.Address
   readonly zone: string
-  /** Requests that it works on at a time. */
+  /** Number of requests that it processes concurrently. */
   readonly slots: number
   readonly isDraining: boolean
-  /** Models of which the back end holds every layer, with their versions. */
+  /** Models of which the back end holds every layer, with the versions of their weights. */
   readonly models: ReadonlyMap<string, number>
 }
 
-/** What an engine says of itself. */
+/** Status report of an engine. */
 export interface EngineReport {
-  /** When this life began, in Unix milliseconds of its own clock; null when it does not tell. */
+  /** Start time of this instance, in Unix milliseconds of its own clock; null if unknown. */
   readonly bornAt: number | null
   readonly running: number
   readonly waiting: number
-  /** Whether an order is under way. */
+  /** Whether an order, such as a switch of versions, is in progress. */
   readonly isBusy: boolean
-  /** Orders taken in this life. */
+  /** Number of orders accepted by this instance. */
   readonly sequence: number
-  /** Over 1: slower than the service's figures say. */
+  /** Slowdown relative to the service's figures; above 1 means slower. */
   readonly pace: number
-  /** Requests a second that the engine says it takes from all machines together; null where its report names no limit. */
+  /** Requests per second that the engine accepts from all machines together; null if its report gives no limit. */
   readonly limitPerSecond: number | null
   readonly models: ReadonlyMap<string, number>
 }
 
-/** What the request path reads from the head of a caller's request. */
+/** Fields of a caller's request head that the request path uses. */
 export interface CallHead {
   readonly requestId: string
   readonly host: string
-  /** Path with query, as sent. */
+  /** Path with query string, as sent. */
   readonly path: string
   readonly method: string
-  /** Milliseconds that the caller waits; null if it does not say. */
+  /** Milliseconds that the caller is willing to wait; null if not given. */
   readonly remainingMs: number | null
   readonly key: string | null
   readonly model: string | null
   readonly promptTokens: number
   readonly answerTokens: number
-  /** Id of the last event that the caller has, when it resumes a stream. */
+  /** Id of the last event that the caller received, if it resumes a stream. */
   readonly lastEventId: string | null
-  /** Headers to pass on, names and values in turn. */
+  /** Headers to forward, as alternating names and values. */
   readonly passedHeaders: readonly string[]
 }
 
-/** What one attempt adds to a call's head. */
+/** Fields that one attempt adds to the request head. */
 export interface AttemptHead {
   readonly backEnd: types.NodeId
   readonly remainingMs: number
   readonly tenant: types.AccountId | null
   readonly urgency: number | null
-  /** Version of the weights that must answer; null for any. */
+  /** Version of the weights that must serve the call; null for any. */
   readonly version: number | null
   readonly lastEventId: string | null
   readonly bodyBytes: number | null
 }
 
-/** What the head of a back end's answer means. */
+/** Meaning of the head of a back end's response. */
 export type AnswerHead =
   | { readonly kind: 'answered', readonly status: number, readonly headers: readonly string[], readonly isStream: boolean, readonly version: number | null }
   /** The back end did not run the call. */
   | { readonly kind: 'not-run', readonly reason: 'full' | 'wrong-instance' | 'other', readonly status: number }
-  /** The answer belongs to another call, or is none; the call may have run. */
+  /** The response belongs to another call or is invalid; the call may have run. */
   | { readonly kind: 'foreign' }
--- a/packages/gateway/src/types/limiter.ts
+++ b/packages/gateway/src/types/limiter.ts
@@ -1,21 +1,21 @@
-/** What keeps the rates that back ends name. */
+/** Keeps the rate limits that back ends advertise, as the request path uses it. */
 import type * as rateLimits from '@switchridge/rate-limits'
 import type * as gateway from './index.js'
 
-/** What a back end with a limit may take next. */
-export interface LimitedRoom {
-  /** Requests a second from all gateways together. */
+/** Rate allowance of a back end with a limit. */
+export interface RateAllowance {
+  /** Requests per second from all gateways together. */
   readonly perSecond: number
-  /** Milliseconds until a request may be sent there; 0 when it is worth asking for a permit now. */
+  /** Milliseconds until a request may be sent there; 0 if a permit may be requested now. */
   readonly waitMs: number
 }
 
 /** The rate limiter of a gateway. */
 export interface RateLimiter {
-  /** Notes what an answer of a back end says; `sentAt`: monotonic time in milliseconds at which its call was sent. */
+  /** Records the rate that a response advertises; `sentAt`: monotonic time in milliseconds at which its request was sent. */
   readonly noteAnswer: (backEnd: gateway.BackEnd, rate: rateLimits.NamedRate, sentAt: number) => void
-  /** What a back end may take of a call; `isLate`: its answer can no longer be in time. Null for one without a limit. */
-  readonly readRoom: (backEnd: gateway.BackEnd, isLate: boolean) => LimitedRoom | null
-  /** Asks for a permit for one request, which is sent at once when it is granted; always granted without a limit. */
+  /** Current allowance of a back end; null for one without a limit. `isLate`: whether the call can no longer be answered in time. */
+  readonly readRoom: (backEnd: gateway.BackEnd, isLate: boolean) => RateAllowance | null
+  /** Requests a permit for one request, to be sent at once when granted; always granted for a back end without a limit. */
   readonly acquire: (backEnd: gateway.BackEnd, isLate: boolean) => Promise<rateLimits.PermitAnswer>
 }
--- a/packages/gateway/src/types/reserver.ts
+++ b/packages/gateway/src/types/reserver.ts
@@ -1,9 +1,9 @@
-/** What reserves slots of back ends for calls. */
+/** Reserves slots of back ends for calls, as the request path uses it. */
 import type * as createSlotReservations from '../createSlotReservations/index.js'
 import type * as gateway from './index.js'
 
 /** The slot reserver of a gateway. */
 export interface SlotReserver {
-  /** Asks the agent beside a back end for a slot, for a call that is sent at once when it is granted; false when there is none, or no answer in time. */
+  /** Requests a slot from the agent on a back end's machine, for a call to be sent at once when granted; false if there is no slot or no reply in time. */
   readonly reserve: (backEnd: gateway.BackEnd, request: createSlotReservations.SlotRequest) => Promise<boolean>
 }
