--- a/packages/membership/src/computeReportTargets/index.ts
+++ b/packages/membership/src/computeReportTargets/index.ts
@@ -1,37 +1,37 @@
 /**
- * Decides whom a daemon sends its heartbeats to. Each data hall has a few hubs, about the square root of
- * its size, so that no daemon hears from more than a few dozen others however large the hall is.
+ * Chooses the daemons that a daemon sends its heartbeats to. Each data hall has a few hubs, about the square root of
+ * its size, so that no daemon receives heartbeats from more than a few dozen others, however large the hall is.
  */
 import * as types from '@switchridge/types'
 import type * as createMemberView from '../createMemberView/index.js'
 import * as rendezvous from '../rankByRendezvous/index.js'
 
-/** Hubs to which an ordinary daemon reports, so that one may fail. */
-const HOME_HUBS = 2
+/** Hubs that a daemon which is no hub reports to; two, so that one of them may fail. */
+const HUBS_PER_DAEMON = 2
 
-const nodeOf = (facts: types.MemberFacts): string => facts.node
+const getNode = (facts: types.MemberFacts): string => facts.node
 
 /**
  * Computes the hubs of a data hall.
  *
  * @param hall - The hall.
- * @param members - The members seen.
- * @returns The first live entry nodes in rendezvous order, or the silent ones where none is live.
+ * @param members - All known members.
+ * @returns The first live entry nodes in rendezvous order, or silent ones where none is live.
  */
 export function computeHubs (hall: types.DataHallId, members: readonly createMemberView.Member[]): types.MemberFacts[] {
   const present = members.filter((member) => member.facts.dataHall === hall && member.condition !== 'gone')
   const entryNodes = present.filter((member) => member.facts.role === 'entry')
   const live = entryNodes.filter((member) => member.condition === 'live' && member.facts.state === 'live')
-  const able = (live.length > 0 ? live : entryNodes).map((member) => member.facts)
+  const eligible = (live.length > 0 ? live : entryNodes).map((member) => member.facts)
   const count = Math.ceil(Math.sqrt(present.length))
-  return rendezvous.rankByRendezvous(`hub/${hall}`, able, nodeOf).slice(0, count)
+  return rendezvous.rankByRendezvous(`hub/${hall}`, eligible, getNode).slice(0, count)
 }
 
 /**
  * Tells whether a daemon is a hub of its data hall.
  *
  * @param facts - The daemon.
- * @param members - The members seen.
+ * @param members - All known members.
  * @returns True for a hub.
  */
 export function isHub (facts: types.MemberFacts, members: readonly createMemberView.Member[]): boolean {
@@ -42,22 +42,22 @@
  * Computes the targets of a daemon's heartbeats.
  *
  * @param self - The daemon.
- * @param members - The members seen.
- * @returns Home hubs of the own hall; for a hub all other hubs of its hall and one of every other hall.
+ * @param members - All known members.
+ * @returns Some hubs of the daemon's own hall; for a hub, all other hubs of its hall and one hub of every other hall.
  */
 export function computeReportTargets (self: types.MemberFacts, members: readonly createMemberView.Member[]): types.MemberFacts[] {
   const hubs = computeHubs(self.dataHall, members)
   const others = hubs.filter((hub) => hub.node !== self.node)
-  if (others.length === hubs.length) return rendezvous.rankByRendezvous(self.node, others, nodeOf).slice(0, HOME_HUBS)
+  if (others.length === hubs.length) return rendezvous.rankByRendezvous(self.node, others, getNode).slice(0, HUBS_PER_DAEMON)
   const halls = new Set(members.map((member) => member.facts.dataHall).filter((hall) => hall !== self.dataHall))
-  const remote = [...halls].map((hall) => rendezvous.pickByRendezvous(self.node, computeHubs(hall, members), nodeOf))
+  const remote = [...halls].map((hall) => rendezvous.pickByRendezvous(self.node, computeHubs(hall, members), getNode))
   return [...others, ...remote.filter((hub) => hub !== undefined)]
 }
 
-/** Milliseconds of heartbeat interval for each member of the hall, so that the traffic of a hub stays bounded. */
+/** The heartbeat interval grows with the hall by this many milliseconds for each member, so that the traffic of a hub stays bounded. */
 const INTERVAL_PER_MEMBER_MS = 40
 const MAXIMUM_INTERVAL_MS = 8000
-const INTERVALS_TO_SILENCE = 3.2
+const SILENCE_LIMIT_INTERVALS = 3.2
 
 /**
  * Computes the heartbeat interval of a hall.
@@ -70,11 +70,11 @@
 }
 
 /**
- * Computes after how much silence a member of a hall is no longer live.
+ * Computes how long a member of a hall may be silent and still count as live.
  *
  * @param hallMembers - Members of the hall that are not gone.
  * @returns Milliseconds.
  */
 export function computeSilenceLimit (hallMembers: number): number {
-  return INTERVALS_TO_SILENCE * computeInterval(hallMembers)
+  return SILENCE_LIMIT_INTERVALS * computeInterval(hallMembers)
 }
--- a/packages/membership/src/computeReportTargets/test.ts
+++ b/packages/membership/src/computeReportTargets/test.ts
@@ -17,37 +17,37 @@
 }
 
 test.describe('computeReportTargets', () => {
-  test.it('bounds what any daemon hears and sends at the size of two years from now', () => {
+  test.it('bounds the heartbeats that a daemon receives and sends in a fleet of 8 halls and 1464 members', () => {
     const fleet = makeFleet(8, 46, 137)
-    const heard = new Map<string, number>()
+    const received = new Map<string, number>()
     let mostSent = 0
     for (const member of fleet) {
       const targets = computeReportTargets.computeReportTargets(member.facts, fleet)
       mostSent = Math.max(mostSent, targets.length)
-      for (const target of targets) heard.set(target.node, (heard.get(target.node) ?? 0) + 1)
+      for (const target of targets) received.set(target.node, (received.get(target.node) ?? 0) + 1)
     }
     assert.ok(mostSent <= 21, `sends to ${mostSent}`)
-    assert.ok(Math.max(...heard.values()) <= 70, `hears ${Math.max(...heard.values())}`)
+    assert.ok(Math.max(...received.values()) <= 70, `hears ${Math.max(...received.values())}`)
   })
 
-  test.it('reaches from every daemon to every other over at most two hubs', () => {
+  test.it('reaches every daemon from every other one through at most two hubs', () => {
     const fleet = makeFleet(3, 5, 20)
     const targetsOf = (node: string): string[] => computeReportTargets.computeReportTargets(fleet.find((member) => member.facts.node === node)!.facts, fleet).map((facts) => facts.node)
     for (const { facts } of fleet) {
-      const homes = targetsOf(facts.node)
-      assert.ok(homes.length >= 2)
-      const reached = new Set(homes.flatMap(targetsOf))
+      const targetHosts = targetsOf(facts.node)
+      assert.ok(targetHosts.length >= 2)
+      const reached = new Set(targetHosts.flatMap(targetsOf))
       const hubs = computeReportTargets.computeHubs(facts.dataHall, fleet).filter((hub) => hub.node !== facts.node)
-      for (const hub of hubs) assert.ok(reached.has(hub.node) || homes.includes(hub.node))
+      for (const hub of hubs) assert.ok(reached.has(hub.node) || targetHosts.includes(hub.node))
     }
   })
 
-  test.it('goes on trying a hall that fell silent', () => {
+  test.it('keeps sending to a hall that became silent', () => {
     const fleet = [makeMember('e1', 'entry', 'a'), makeMember('e2', 'entry', 'b', 'silent')]
     assert.deepEqual(computeReportTargets.computeReportTargets(fleet[0]!.facts, fleet).map((facts) => facts.node), ['e2'])
   })
 
-  test.it('slows down in a large hall', () => {
+  test.it('lengthens the interval in a large hall', () => {
     assert.equal(computeReportTargets.computeInterval(12), types.HEARTBEAT_INTERVAL_MS)
     assert.ok(computeReportTargets.computeInterval(183) > 2000)
   })
--- a/packages/membership/src/createMemberView/index.ts
+++ b/packages/membership/src/createMemberView/index.ts
@@ -1,41 +1,38 @@
-/** What one daemon knows about the others: heartbeats heard itself, claims relayed by entry nodes, and the platform's node list. */
+/** One daemon's view of the members, from heartbeats that it received, claims relayed by entry nodes, and the platform's node list. */
 import * as types from '@switchridge/types'
 
-/**
- * `live` gets new work; `silent` gets none but keeps its place in the placement;
- * `gone` is out of the placement.
- */
+/** A `live` member gets new work; a `silent` one gets none but stays in the placement; a `gone` one is removed from the placement. */
 export type MemberCondition = 'live' | 'silent' | 'gone'
 
 /** A member as this daemon sees it. */
 export interface Member {
   readonly facts: types.MemberFacts
   readonly condition: MemberCondition
-  /** Finishes what it runs and gets no new work. */
+  /** The member finishes its running work and gets no new work. */
   readonly leaving: boolean
 }
 
-/** What one daemon says about another. */
+/** What one daemon reports about another one. */
 export interface MemberClaim {
   readonly facts: types.MemberFacts
   readonly condition: MemberCondition
-  /** The platform's node list says that the node leaves. */
+  /** Whether the platform's node list marks the node as leaving. */
   readonly leaving: boolean
 }
 
-/** Claims since a counter; the receiver asks with the new counter next time. */
+/** Claims changed since a counter value; the receiver sends the new counter with its next request. */
 export interface ClaimChanges {
   readonly counter: number
   readonly claims: readonly MemberClaim[]
 }
 
 /**
- * What a receiver gets: `all` goes to daemons that relay nothing, `first-hand` to hubs of the same hall,
- * and a data hall to hubs of other halls. So no claim travels in a circle and keeps a dead member alive.
+ * Which claims a receiver gets: daemons that relay nothing get `all`, hubs of the same hall get `first-hand` ones, and hubs of
+ * other halls get those of one data hall. So no claim can circulate and keep a dead member live.
  */
 export type ClaimScope = 'all' | 'first-hand' | { readonly dataHall: types.DataHallId }
 
-/** A node as the platform lists it. */
+/** A node on the platform's list. */
 export interface ListedNode {
   readonly node: types.NodeId
   readonly state: 'live' | 'leaving'
@@ -45,24 +42,24 @@
 export interface MemberViewOptions {
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
-  /** Milliseconds of silence after which a member is no longer live; asked at each refresh. */
+  /** Returns the milliseconds of silence after which a member is no longer live; called at each refresh. */
   readonly silenceLimit?: () => number
-  /** Milliseconds of silence after which one node is gone. */
+  /** Milliseconds of silence after which a single node is gone. */
   readonly nodeHoldMs?: number
-  /** Milliseconds of silence after which a data hall that fell silent as a whole is gone. */
+  /** The same for the members of a data hall that is silent as a whole, since it may only be cut off. */
   readonly hallHoldMs?: number
 }
 
-/** The view of one daemon. */
+/** Members as one daemon sees them. */
 export interface MemberView {
-  /** Takes the facts that a member stated in a heartbeat of its own. */
+  /** Applies the facts that a member sent in its own heartbeat. */
   readonly hear: (facts: types.MemberFacts) => void
-  /** Takes what an entry node says about others. */
+  /** Applies the claims of an entry node about other members. */
   readonly applyClaims: (relay: types.NodeId, claims: readonly MemberClaim[]) => void
   readonly applyNodeList: (nodes: readonly ListedNode[]) => void
-  /** Takes the nodes that the table puts out of service. */
+  /** Sets the nodes that the table takes out of service. */
   readonly applyLeavingRows: (nodes: readonly types.NodeId[]) => void
-  /** Judges silence anew; call it once per heartbeat interval. */
+  /** Reevaluates the condition of all members; call it once per heartbeat interval. */
   readonly refresh: () => void
   readonly members: () => readonly Member[]
   readonly find: (node: types.NodeId) => Member | undefined
@@ -70,14 +67,14 @@
 }
 
 export const HALL_HOLD_MS = 300_000
-/** A member that is gone is forgotten after this many milliseconds more. */
+/** A gone member is removed from the view after this many further milliseconds. */
 const FORGET_AFTER_MS = 600_000
 
 interface Entry {
   facts: types.MemberFacts
   heardAt: number | null
-  readonly relayed: Map<types.NodeId, MemberCondition>
-  /** What the last relay said of the node list. */
+  readonly relayedConditions: Map<types.NodeId, MemberCondition>
+  /** Whether the last relay reported the node as leaving by the node list. */
   relayedLeaving: boolean
   condition: MemberCondition
   silentSince: number | null
@@ -101,14 +98,14 @@
   const hallHoldMs = options.hallHoldMs ?? HALL_HOLD_MS
   const entries = new Map<types.NodeId, Entry>()
   let listedLeaving: ReadonlySet<types.NodeId> = new Set()
-  let rowLeaving: ReadonlySet<types.NodeId> = new Set()
+  let tableLeaving: ReadonlySet<types.NodeId> = new Set()
   let counter = 0
   let silenceLimitMs = types.HEARTBEAT_TIMEOUT_MS
 
   function upsert (facts: types.MemberFacts): Entry {
     const known = entries.get(facts.node)
     if (known === undefined) {
-      const entry: Entry = { facts, heardAt: null, relayed: new Map(), relayedLeaving: false, condition: 'silent', silentSince: options.now(), changedAt: ++counter }
+      const entry: Entry = { facts, heardAt: null, relayedConditions: new Map(), relayedLeaving: false, condition: 'silent', silentSince: options.now(), changedAt: ++counter }
       entries.set(facts.node, entry)
       return entry
     }
@@ -130,10 +127,10 @@
   function applyClaims (relay: types.NodeId, claims: readonly MemberClaim[]): void {
     for (const claim of claims) {
       const entry = upsert(claim.facts)
-      entry.relayed.set(relay, claim.condition)
+      entry.relayedConditions.set(relay, claim.condition)
       if (entry.relayedLeaving !== claim.leaving) entry.changedAt = ++counter
       entry.relayedLeaving = claim.leaving
-      setCondition(entry, judge(entry))
+      setCondition(entry, computeCondition(entry))
     }
   }
 
@@ -145,28 +142,28 @@
     entry.changedAt = ++counter
   }
 
-  function isHeard (entry: Entry | undefined): boolean {
+  function isHeardRecently (entry: Entry | undefined): boolean {
     return entry !== undefined && entry.heardAt !== null && options.now() - entry.heardAt <= silenceLimitMs
   }
 
-  function judge (entry: Entry): MemberCondition {
-    if (isHeard(entry) || isRelayedLive(entry)) return 'live'
+  function computeCondition (entry: Entry): MemberCondition {
+    if (isHeardRecently(entry) || isRelayedLive(entry)) return 'live'
     const silentFor = options.now() - (entry.silentSince ?? options.now())
     const holdMs = isHallSilent(entry.facts.dataHall) ? hallHoldMs : nodeHoldMs
     return silentFor >= holdMs ? 'gone' : 'silent'
   }
 
   function isRelayedLive (entry: Entry): boolean {
-    const relays = [...entry.relayed.entries()]
-    const fresh = relays.filter(([relay]) => isHeard(entries.get(relay)))
+    const relays = [...entry.relayedConditions.entries()]
+    const fresh = relays.filter(([relay]) => isHeardRecently(entries.get(relay)))
     const trusted = fresh.length > 0 || hasFreshRelay(entry) ? fresh : relays
     return trusted.some(([, condition]) => condition === 'live')
   }
 
-  /** Whether any entry node that could vouch for the member is heard; without one, the last word stands. */
+  /** Whether any entry node that could report the member is heard; if there is none, the last claims stay valid. */
   function hasFreshRelay (entry: Entry): boolean {
     for (const other of entries.values()) {
-      if (other.facts.role === 'entry' && other !== entry && isHeard(other)) return true
+      if (other.facts.role === 'entry' && other !== entry && isHeardRecently(other)) return true
     }
     return false
   }
@@ -181,21 +178,21 @@
   function refresh (): void {
     silenceLimitMs = options.silenceLimit?.() ?? silenceLimitMs
     for (const [node, entry] of entries) {
-      setCondition(entry, judge(entry))
+      setCondition(entry, computeCondition(entry))
       const forgotten = entry.condition === 'gone' && options.now() - (entry.silentSince ?? 0) > hallHoldMs + FORGET_AFTER_MS
       if (forgotten) entries.delete(node)
     }
   }
 
   function applyNodeList (nodes: readonly ListedNode[]): void {
-    const next = new Set(nodes.filter((node) => node.state === 'leaving').map((node) => node.node))
-    for (const [node, entry] of entries) if (next.has(node) !== listedLeaving.has(node)) entry.changedAt = ++counter
-    listedLeaving = next
+    const leavingNodes = new Set(nodes.filter((node) => node.state === 'leaving').map((node) => node.node))
+    for (const [node, entry] of entries) if (leavingNodes.has(node) !== listedLeaving.has(node)) entry.changedAt = ++counter
+    listedLeaving = leavingNodes
   }
 
   function toMember (entry: Entry): Member {
     const { node, state } = entry.facts
-    return { facts: entry.facts, condition: entry.condition, leaving: state === 'leaving' || listedLeaving.has(node) || entry.relayedLeaving || rowLeaving.has(node) }
+    return { facts: entry.facts, condition: entry.condition, leaving: state === 'leaving' || listedLeaving.has(node) || entry.relayedLeaving || tableLeaving.has(node) }
   }
 
   function changesSince (since: number, scope: ClaimScope): ClaimChanges {
@@ -203,7 +200,7 @@
       .filter((entry) => entry.changedAt > since && isInScope(entry, scope))
       .map((entry): MemberClaim => ({
         facts: entry.facts,
-        condition: scope === 'first-hand' && !isHeard(entry) ? 'silent' : entry.condition,
+        condition: scope === 'first-hand' && !isHeardRecently(entry) ? 'silent' : entry.condition,
         leaving: listedLeaving.has(entry.facts.node) || (scope === 'all' && entry.relayedLeaving)
       }))
     return { counter, claims }
@@ -215,7 +212,7 @@
     refresh,
     changesSince,
     applyNodeList,
-    applyLeavingRows: (nodes) => { rowLeaving = new Set(nodes) },
+    applyLeavingRows: (nodes) => { tableLeaving = new Set(nodes) },
     members: () => [...entries.values()].map(toMember),
     find: (node) => {
       const entry = entries.get(node)
--- a/packages/membership/src/createMemberView/test.ts
+++ b/packages/membership/src/createMemberView/test.ts
@@ -3,7 +3,7 @@
 import * as types from '@switchridge/types'
 import * as createMemberView from './index.js'
 
-function stateFacts (node: string, change: Partial<types.MemberFacts> = {}): types.MemberFacts {
+function makeFacts (node: string, change: Partial<types.MemberFacts> = {}): types.MemberFacts {
   return {
     node: types.brandId(node),
     role: 'backend',
@@ -26,90 +26,90 @@
 const NODE = types.brandId<types.NodeId>('b1')
 const ENTRY = types.brandId<types.NodeId>('e1')
 
-function openView () {
+function createView () {
   const clock = { now: 0 }
   const view = createMemberView.createMemberView({ now: () => clock.now, silenceLimit: () => 1000, nodeHoldMs: 10_000, hallHoldMs: 100_000 })
   return { clock, view, condition: (node = NODE) => view.find(node)?.condition }
 }
 
 test.describe('createMemberView', () => {
-  test.it('avoids a node that fell silent, keeps its place, then lets it go', () => {
-    const { clock, view, condition } = openView()
-    view.hear(stateFacts('b1'))
+  test.it('marks a node silent after the silence limit, and gone after the hold time', () => {
+    const { clock, view, condition } = createView()
+    view.hear(makeFacts('b1'))
     clock.now = 1001
-    view.hear(stateFacts('b2'))
+    view.hear(makeFacts('b2'))
     view.refresh()
     assert.equal(condition(), 'silent')
     clock.now = 11_002
-    view.hear(stateFacts('b2'))
+    view.hear(makeFacts('b2'))
     view.refresh()
     assert.equal(condition(), 'gone')
   })
 
-  test.it('takes a hall that fell silent as a whole for cut off, not for dead', () => {
-    const { clock, view, condition } = openView()
-    view.hear(stateFacts('b1'))
-    view.hear(stateFacts('b2'))
+  test.it('holds the members of a hall that is silent as a whole for longer, since it may be cut off', () => {
+    const { clock, view, condition } = createView()
+    view.hear(makeFacts('b1'))
+    view.hear(makeFacts('b2'))
     clock.now = 50_000
     view.refresh()
     view.refresh()
     assert.equal(condition(), 'silent')
   })
 
-  test.it('keeps a live node that the node list does not show, and stops work for one that it shows as leaving', () => {
-    const { view, condition } = openView()
-    view.hear(stateFacts('b1'))
+  test.it('keeps a live node that the node list lacks, and marks one that the list shows as leaving', () => {
+    const { view, condition } = createView()
+    view.hear(makeFacts('b1'))
     view.applyNodeList([])
     assert.equal(condition(), 'live')
     view.applyNodeList([{ node: NODE, state: 'leaving' }])
     assert.equal(view.find(NODE)?.leaving, true)
   })
 
-  test.it('believes a relay while it hears the relay, and the last word when it hears none', () => {
-    const { clock, view, condition } = openView()
-    view.hear(stateFacts('e1', { role: 'entry' }))
-    view.applyClaims(ENTRY, [{ facts: stateFacts('b1'), condition: 'live', leaving: false }])
+  test.it('follows the claims of a relay that it hears, and keeps the last claims when it hears none', () => {
+    const { clock, view, condition } = createView()
+    view.hear(makeFacts('e1', { role: 'entry' }))
+    view.applyClaims(ENTRY, [{ facts: makeFacts('b1'), condition: 'live', leaving: false }])
     assert.equal(condition(), 'live')
-    view.applyClaims(ENTRY, [{ facts: stateFacts('b1'), condition: 'silent', leaving: false }])
+    view.applyClaims(ENTRY, [{ facts: makeFacts('b1'), condition: 'silent', leaving: false }])
     assert.equal(condition(), 'silent')
-    view.applyClaims(ENTRY, [{ facts: stateFacts('b1'), condition: 'live', leaving: false }])
+    view.applyClaims(ENTRY, [{ facts: makeFacts('b1'), condition: 'live', leaving: false }])
     clock.now = 5000
     view.refresh()
     assert.equal(condition(), 'live')
   })
 
-  test.it('passes on what the node list says to daemons that do not read it, until the node lives again', () => {
-    const [hub, other] = [openView(), openView()]
-    hub.view.hear(stateFacts('b1'))
+  test.it('relays leaving nodes of the node list to daemons that do not read it, until the node restarts', () => {
+    const [hub, other] = [createView(), createView()]
+    hub.view.hear(makeFacts('b1'))
     const before = hub.view.changesSince(0, 'all').counter
     hub.view.applyNodeList([{ node: NODE, state: 'leaving' }])
     const { claims } = hub.view.changesSince(before, 'all')
     other.view.applyClaims(ENTRY, claims)
     assert.equal(other.view.find(NODE)?.leaving, true)
-    other.view.applyClaims(ENTRY, [{ facts: stateFacts('b1', { incarnation: types.brandId<types.IncarnationId>('2') }), condition: 'live', leaving: false }])
+    other.view.applyClaims(ENTRY, [{ facts: makeFacts('b1', { incarnation: types.brandId<types.IncarnationId>('2') }), condition: 'live', leaving: false }])
     assert.equal(other.view.find(NODE)?.leaving, false)
   })
 
-  test.it('never takes older facts, also not from an earlier life of the node', () => {
-    const { view } = openView()
-    view.hear(stateFacts('b1', { incarnation: types.brandId<types.IncarnationId>('2'), revision: 7 }))
-    view.hear(stateFacts('b1', { incarnation: types.brandId<types.IncarnationId>('1'), factsVersion: 9, revision: 3 }))
+  test.it('ignores older facts, also those of an earlier incarnation', () => {
+    const { view } = createView()
+    view.hear(makeFacts('b1', { incarnation: types.brandId<types.IncarnationId>('2'), revision: 7 }))
+    view.hear(makeFacts('b1', { incarnation: types.brandId<types.IncarnationId>('1'), factsVersion: 9, revision: 3 }))
     assert.equal(view.find(NODE)?.facts.revision, 7)
   })
 
-  test.it('reports only what changed since a counter', () => {
-    const { view } = openView()
-    view.hear(stateFacts('b1'))
+  test.it('returns only the claims changed since a counter', () => {
+    const { view } = createView()
+    view.hear(makeFacts('b1'))
     const first = view.changesSince(0, 'first-hand')
-    view.hear(stateFacts('b1'))
+    view.hear(makeFacts('b1'))
     assert.deepEqual(view.changesSince(first.counter, 'first-hand').claims, [])
-    view.hear(stateFacts('b1', { factsVersion: 2 }))
+    view.hear(makeFacts('b1', { factsVersion: 2 }))
     assert.equal(view.changesSince(first.counter, 'first-hand').claims.length, 1)
   })
 
-  test.it('relays first-hand claims only where asked, so that rumours do not travel in circles', () => {
-    const { view } = openView()
-    view.applyClaims(ENTRY, [{ facts: stateFacts('b1'), condition: 'live', leaving: false }])
+  test.it('leaves relayed claims out of the first-hand scope, so that claims do not circulate', () => {
+    const { view } = createView()
+    view.applyClaims(ENTRY, [{ facts: makeFacts('b1'), condition: 'live', leaving: false }])
     assert.equal(view.changesSince(0, 'first-hand').claims.length, 0)
     assert.equal(view.changesSince(0, 'all').claims.length, 1)
   })
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,4 +1,4 @@
-/** Who is there, and who of them comes first for a key. */
+/** Fleet membership, and rendezvous hashing of members. */
 export * from './computeReportTargets/index.js'
 export * from './createMemberView/index.js'
 export * from './rankByRendezvous/index.js'
--- a/packages/membership/src/rankByRendezvous/index.ts
+++ b/packages/membership/src/rankByRendezvous/index.ts
@@ -1,17 +1,17 @@
-/** Rendezvous hashing: every process ranks the same items for a key in the same order, and few ranks change when an item comes or goes. */
+/** Rendezvous hashing: every process ranks the same items for a key in the same order, and the others keep their order when an item is added or removed. */
 import createHasher from 'xxhash-wasm'
 
 const hasher = await createHasher()
-/** Scores that a ranking remembers: more than the members of a large fleet, also while many are replaced. */
-const MAXIMUM_SCORES = 5000
+/** Scores that a ranking caches: more than the members of a large fleet, also while many of them are replaced. */
+const MAXIMUM_CACHED_SCORES = 5000
 
 /**
  * Ranks items for a key.
  *
  * @param key - What the items are ranked for.
  * @param items - The items.
- * @param idOf - Gives the id of an item; ids are unique.
- * @returns The items, the best first.
+ * @param idOf - Returns the unique id of an item.
+ * @returns The items, the highest score first.
  * @example
  * const [reader] = rankByRendezvous(`${manifest}/${chunk}`, nodes, (node) => node.id)
  */
@@ -20,20 +20,20 @@
 }
 
 /**
- * Creates a ranking for one key that remembers scores: hashing is most of what a ranking costs, and some are made many times a second.
+ * Creates a ranking for one key that caches scores, since hashing is most of the cost of a ranking, and some rankings run many times a second.
  *
  * @param key - What items are ranked for.
- * @returns Ranks items like {@link rankByRendezvous}.
+ * @returns A function that ranks items like {@link rankByRendezvous}.
  */
 export function createRendezvousRanking (key: string): <Item>(items: readonly Item[], idOf: (item: Item) => string) => Item[] {
-  const scores = new Map<string, number>()
+  const cachedScores = new Map<string, number>()
 
   function scoreOf (id: string): number {
-    const known = scores.get(id)
-    if (known !== undefined) return known
-    if (scores.size >= MAXIMUM_SCORES) scores.clear()
+    const cached = cachedScores.get(id)
+    if (cached !== undefined) return cached
+    if (cachedScores.size >= MAXIMUM_CACHED_SCORES) cachedScores.clear()
     const score = scoreByRendezvous(key, id)
-    scores.set(id, score)
+    cachedScores.set(id, score)
     return score
   }
 
@@ -48,20 +48,20 @@
 }
 
 /**
- * Finds the best item for a key without ranking the rest.
+ * Finds the item with the highest score for a key, without ranking the others.
  *
  * @param key - What the item is chosen for.
  * @param items - The items.
- * @param idOf - Gives the id of an item; ids are unique.
- * @returns The best item, or undefined when there is none.
+ * @param idOf - Returns the unique id of an item.
+ * @returns That item, or undefined if there are no items.
  */
 export function pickByRendezvous<Item> (key: string, items: readonly Item[], idOf: (item: Item) => string): Item | undefined {
   let best: Item | undefined
   let bestScore = -1
   for (const item of items) {
     const score = scoreByRendezvous(key, idOf(item))
-    const wins = score > bestScore || (score === bestScore && best !== undefined && idOf(item) < idOf(best))
-    if (wins) {
+    const isBetter = score > bestScore || (score === bestScore && best !== undefined && idOf(item) < idOf(best))
+    if (isBetter) {
       best = item
       bestScore = score
     }
--- a/packages/membership/src/rankByRendezvous/test.ts
+++ b/packages/membership/src/rankByRendezvous/test.ts
@@ -6,16 +6,16 @@
 const identity = (id: string): string => id
 
 test.describe('rankByRendezvous', () => {
-  test.it('keeps the order of the rest when one item goes', () => {
+  test.it('keeps the order of the other items when one is removed', () => {
     fc.assert(fc.property(fc.string(), fc.uniqueArray(fc.string(), { minLength: 1 }), fc.nat(), (key, ids, choice) => {
-      const gone = ids[choice % ids.length]
-      const before = rendezvous.rankByRendezvous(key, ids, identity).filter((id) => id !== gone)
-      const after = rendezvous.rankByRendezvous(key, ids.filter((id) => id !== gone), identity)
+      const removed = ids[choice % ids.length]
+      const before = rendezvous.rankByRendezvous(key, ids, identity).filter((id) => id !== removed)
+      const after = rendezvous.rankByRendezvous(key, ids.filter((id) => id !== removed), identity)
       assert.deepEqual(after, before)
     }), { seed: 1 })
   })
 
-  test.it('does not depend on the order given, and picks its first', () => {
+  test.it('does not depend on the order of the input, and picks the first of the ranking', () => {
     fc.assert(fc.property(fc.string(), fc.uniqueArray(fc.string(), { minLength: 1 }), (key, ids) => {
       const ranked = rendezvous.rankByRendezvous(key, ids, identity)
       assert.deepEqual(rendezvous.rankByRendezvous(key, [...ids].reverse(), identity), ranked)
@@ -23,7 +23,7 @@
     }), { seed: 2 })
   })
 
-  test.it('spreads keys evenly', () => {
+  test.it('distributes keys evenly', () => {
     const ids = Array.from({ length: 8 }, (_, index) => `node-${index}`)
     const counts = new Map<string, number>()
     for (let key = 0; key < 8000; key += 1) {
--- a/packages/spread/src/_lib/createChangeBroadcaster.ts
+++ b/packages/spread/src/_lib/createChangeBroadcaster.ts
@@ -1,6 +1,6 @@
-/** When a daemon tells its hall that copies changed: those that follow each other closely are told together. */
+/** Announces changes of copies to the own hall; changes that follow each other closely are merged. */
 import type * as fleetView from './fleetView.js'
-import * as hallNews from './hallNews.js'
+import * as hallCopies from './hallCopies.js'
 import type * as heartbeats from './heartbeat.js'
 import * as rates from './rates.js'
 import * as relays from './relays.js'
@@ -9,66 +9,66 @@
 /** Options of {@link createChangeBroadcaster}. */
 export interface ChangeBroadcasterOptions {
   readonly describeSelf: () => heartbeats.Heartbeat
-  readonly look: () => fleetView.FleetView
-  readonly tell: (news: wire.News) => void
-  /** Calls later, unless the exchange was stopped. */
-  readonly later: (delayMs: number, action: () => void) => void
+  readonly getView: () => fleetView.FleetView
+  readonly broadcast: (digest: wire.HallDigest) => void
+  /** Runs an action after a delay, unless the gossip was stopped. */
+  readonly schedule: (delayMs: number, action: () => void) => void
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
 }
 
-/** Changes of copies within this are told together. */
+/** Changes of copies within this time are announced together. */
 const CHANGE_MERGE_MS = 100
-/** Bytes of a datagram about a change. */
+/** Size of a datagram about a change. */
 const CHANGE_BYTES = 175
-/** A change is told with the versions that were named within this; others came with heartbeats. */
+/** A change is sent with the versions that were announced within this time; older ones came with heartbeats. */
 const RECENT_VERSION_MS = 2500
-/** A gateway that is no relay waits so long beyond the relays' merging whether others tell the same change. */
+/** A gateway that is no relay waits for so long beyond the relays' merge time, in case others announce the same change. */
 const CHANGE_WAIT_MS = 150
-/** A change is told by so many at least. */
+/** Members that announce a change at least. */
 const CHANGE_BROADCASTERS = 2
 const MS_IN_SECOND = 1000
 
 /**
  * Creates the broadcaster.
  *
- * @param options - The daemon, its view and how a change is told.
- * @returns Is called after each change.
+ * @param options - State of the daemon, its view and the broadcast of a change.
+ * @returns A function to call after each change.
  */
 export function createChangeBroadcaster (options: ChangeBroadcasterOptions): () => void {
-  const { look, now } = options
-  let toldAt = -Infinity
-  let toldCopies: heartbeats.CopyStates = {}
-  let announced: heartbeats.CopyStates = {}
+  const { getView, now } = options
+  let lastBroadcastAt = -Infinity
+  let broadcastCopies: heartbeats.CopyStates = {}
+  let announcedCopies: heartbeats.CopyStates = {}
   let isWaiting = false
 
   function announceChange (): void {
     if (isWaiting) return
-    const { halls, rank } = look()
-    const mergeMs = Math.max(CHANGE_MERGE_MS, (relays.FAN_OUT + 1 + halls.length) * CHANGE_BYTES * MS_IN_SECOND / rates.AT_ONCE_BYTES_PER_SECOND)
-    const waitMs = rank >= 0 ? toldAt + mergeMs - now() : mergeMs + CHANGE_WAIT_MS
+    const { halls, rank } = getView()
+    const mergeMs = Math.max(CHANGE_MERGE_MS, (relays.FAN_OUT + 1 + halls.length) * CHANGE_BYTES * MS_IN_SECOND / rates.IMMEDIATE_BYTES_PER_SECOND)
+    const waitMs = rank >= 0 ? lastBroadcastAt + mergeMs - now() : mergeMs + CHANGE_WAIT_MS
     const { copies } = options.describeSelf()
-    const changed = hallNews.selectChanged(announced, copies)
-    announced = copies
+    const changed = hallCopies.selectChanged(announcedCopies, copies)
+    announcedCopies = copies
     isWaiting = waitMs > 0
-    if (isWaiting) options.later(waitMs, () => { tellChange(changed) })
-    else tellChange(changed)
+    if (isWaiting) options.schedule(waitMs, () => { broadcastChange(changed) })
+    else broadcastChange(changed)
   }
 
-  /** Relays tell; others only where too few told what had changed when they began to wait. */
-  function tellChange (awaited: heartbeats.CopyStates): void {
+  /** Relays always broadcast; others only if too few members have announced what had changed when the wait began. */
+  function broadcastChange (pendingCopies: heartbeats.CopyStates): void {
     isWaiting = false
-    const { rank, near } = look()
+    const { rank, near } = getView()
     const self = options.describeSelf()
-    const toTell = hallNews.collectCopies([{ ...self, copies: awaited }])
-    const broadcasters = near.filter(({ heartbeat }) => !hallNews.isNewer(toTell, hallNews.collectCopies([heartbeat]))).length
+    const pendingChange = hallCopies.collectCopies([{ ...self, copies: pendingCopies }])
+    const broadcasters = near.filter(({ heartbeat }) => !hallCopies.hasNewerCopies(pendingChange, hallCopies.collectCopies([heartbeat]))).length
     if (rank < 0 && broadcasters >= CHANGE_BROADCASTERS) return
-    toldAt = now()
-    const copies = hallNews.selectChanged(toldCopies, self.copies)
-    toldCopies = self.copies
-    options.tell({
+    lastBroadcastAt = now()
+    const copies = hallCopies.selectChanged(broadcastCopies, self.copies)
+    broadcastCopies = self.copies
+    options.broadcast({
       zone: self.zone,
-      copies: hallNews.collectCopies([{ ...self, copies }]),
+      copies: hallCopies.collectCopies([{ ...self, copies }]),
       versions: self.versions.filter((version) => version.ageMs <= RECENT_VERSION_MS),
       members: []
     })
--- a/packages/spread/src/_lib/createHallRelay.ts
+++ b/packages/spread/src/_lib/createHallRelay.ts
@@ -1,6 +1,6 @@
-/** How a relay tells of its hall to others, and how members of a hall pass on what comes from relays. */
+/** Digests of a hall: relays send them to other halls and to their own hall, and members forward them within their hall. */
 import * as fleetView from './fleetView.js'
-import * as hallNews from './hallNews.js'
+import * as hallCopies from './hallCopies.js'
 import * as hashes from './hashes.js'
 import type * as heartbeats from './heartbeat.js'
 import type * as memberTable from './memberTable.js'
@@ -13,186 +13,186 @@
   readonly ownHost: string
   readonly describeSelf: () => heartbeats.Heartbeat
   readonly find: (host: string) => memberTable.Member | undefined
-  readonly look: () => fleetView.FleetView
+  readonly getView: () => fleetView.FleetView
   readonly send: (host: string, text: string) => void
-  /** Calls later, unless the exchange was stopped. */
-  readonly later: (delayMs: number, action: () => void) => void
+  /** Runs an action after a delay, unless the gossip was stopped. */
+  readonly schedule: (delayMs: number, action: () => void) => void
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
 }
 
-/** The relay's part of an exchange; daemons that are no relays pass on only. */
+/** Sends and forwards digests; a daemon that is no relay only forwards them. */
 export interface HallRelay {
-  /** Hands on a digest that came; `isNews` tells whether it says anything that was not known. */
-  readonly spread: (way: wire.DigestWay, delayMs: number, body: string, isNews: boolean) => void
-  /** What is due now. */
+  /** Forwards a received digest within the hall; `hasNews` tells whether it contains anything that was not known. */
+  readonly forwardDigest: (header: wire.DigestHeader, delayMs: number, body: string, hasNews: boolean) => void
+  /** Sends the digests that are due. */
   readonly tick: () => void
-  /** The relay that comes first has begun a round: the other one's is halfway to the next. */
-  readonly noteRound: () => void
-  /** Another relay has told the own hall of its members: this one's next round is halfway to the next of that one. */
+  /** Records that the first relay has begun a digest round: the other relay begins its own one half a period later. */
+  readonly noteDigestRound: () => void
+  /** Records that another relay has sent updates to the own hall: the next round of this one begins half a period later. */
   readonly noteHallRound: () => void
-  /** Tells other halls of a new member of the own one. */
-  readonly tellNewcomer: (host: string) => void
-  /** Tells other halls of a member at once, if this daemon is a relay. */
-  readonly tellAtOnce: (host: string, audience: wire.Audience) => void
-  /** Tells the own hall of what changed, and a first relay also others. */
-  readonly tellChange: (news: wire.News) => void
-  /** The furthest copies that the own hall holds. */
-  readonly collectOwn: () => wire.HallCopies
+  /** Announces a new member of the own hall to other halls. */
+  readonly announceNewMember: (host: string) => void
+  /** Announces the state of a member to other halls at once, if this daemon is a relay. */
+  readonly announceMember: (host: string, audience: wire.Audience) => void
+  /** Broadcasts a change to the own hall, and on the first relay also to other halls. */
+  readonly broadcastChange: (digest: wire.HallDigest) => void
+  /** The most recent copies that the own hall holds. */
+  readonly collectOwnCopies: () => wire.HallCopies
 }
 
-/** Pauses and suspicions of several members that reach a relay within this go to other halls together. */
+/** Urgent changes of several members, such as pauses and suspicions, that reach a relay within this time go to other halls together. */
 const RELAY_MERGE_MS = 15
-/** New members of a hall are told to others together, and for a while digests go to agents too each time. */
-const NEWCOMER_MERGE_MS = 100
-const NEWCOMER_MS = 3000
-/** Rounds begin at a tick, so late; the next one is not later for it. A relay that was silent for longer begins anew. */
-const LATE_MS = 25
-/** Members whose digest fits into one datagram; both relays tell the same ones at the same part of a round. */
-const MEMBERS_IN_PART = 8
+/** New members of a hall are announced to other halls together; for some time after them, all digests go to agents too. */
+const NEW_MEMBER_MERGE_MS = 100
+const NEW_MEMBER_MS = 3000
+/** A round begins at a tick, late by up to this time, which does not delay the next one. After a longer gap the schedule restarts. */
+const ROUND_LATENESS_MS = 25
+/** Members whose digest fits into one datagram; both relays send the same members at the same part of a round. */
+const MEMBERS_PER_DATAGRAM = 8
 
 /**
- * Creates the relay's part.
+ * Creates the relay.
  *
  * @param options - The daemon, its view and its socket.
- * @returns The part.
+ * @returns The relay.
  */
 export function createHallRelay (options: HallRelayOptions): HallRelay {
-  const { ownHost, look, send, now } = options
-  const urgent = new Map<string, wire.Audience>()
+  const { ownHost, getView, send, now } = options
+  const urgentHosts = new Map<string, wire.Audience>()
   let knownHalls: ReadonlySet<string> = new Set()
-  let newcomerAt = -Infinity
-  let nextRoundAt = -Infinity
+  let newMemberAt = -Infinity
+  let nextDigestRoundAt = -Infinity
   let nextHallRoundAt = -Infinity
-  let hallToldAt = -Infinity
-  let wholeToldAt = -Infinity
+  let lastHallRoundAt = -Infinity
+  let lastFullRoundAt = -Infinity
   let turn = 0
 
-  /** Hands a digest on; the one that it comes to first leaves the whole hall to one other member, so that relays send less. */
-  function spread (way: wire.DigestWay, delayMs: number, body: string, isNews: boolean): void {
-    if (way.audience === 'nobody' || (way.range === null && !isNews)) return
-    const circle = listAudience(way.audience)
-    if (way.range === null) passOn(rotate(circle), { ...way, first: ownHost }, delayMs, body, 1)
-    else passOn(relays.selectRange(circle, way.range).filter((host) => host !== way.first), way, delayMs, body)
+  /** Forwards a digest; the member that it reaches first leaves the whole hall to one other member, so that relays send less. */
+  function forwardDigest (header: wire.DigestHeader, delayMs: number, body: string, hasNews: boolean): void {
+    if (header.audience === 'nobody' || (header.range === null && !hasNews)) return
+    const circle = listAudienceHosts(header.audience)
+    if (header.range === null) forwardTo(rotateStart(circle), { ...header, ingressHost: ownHost }, delayMs, body, 1)
+    else forwardTo(relays.selectRange(circle, header.range).filter((host) => host !== header.ingressHost), header, delayMs, body)
   }
 
-  /** Another member comes first each time, so that all take turns in passing on, whichever parts of a round come to this relay. */
-  function rotate (circle: readonly string[]): string[] {
+  /** Starts at a different member each time, so that all take turns in forwarding, whichever parts of a round this relay receives. */
+  function rotateStart (circle: readonly string[]): string[] {
     turn += 1
-    const start = Math.floor(hashes.spreadEvenly(turn) * circle.length)
+    const start = Math.floor(hashes.computeEvenFraction(turn) * circle.length)
     return [...circle.slice(start), ...circle.slice(0, start)]
   }
 
-  function passOn (hosts: readonly string[], { audience, first }: Pick<wire.DigestWay, 'audience' | 'first'>, delayMs: number, body: string, fanOut?: number): void {
-    for (const part of relays.divide(hosts, look().relayHosts, fanOut, look().overdueHosts)) send(part.host, wire.formatDigest({ sentAt: now(), delayMs, audience, range: part.range, first }, body))
+  function forwardTo (hosts: readonly string[], { audience, ingressHost }: Pick<wire.DigestHeader, 'audience' | 'ingressHost'>, delayMs: number, body: string, fanOut?: number): void {
+    for (const part of relays.splitAmongForwarders(hosts, getView().relayHosts, fanOut, getView().overdueHosts)) send(part.host, wire.formatDigest({ sentAt: now(), delayMs, audience, range: part.range, ingressHost }, body))
   }
 
-  function listAudience (audience: wire.Audience): readonly string[] {
-    return audience === 'all' ? look().allHosts : look().gatewayHosts
+  function listAudienceHosts (audience: wire.Audience): readonly string[] {
+    return audience === 'all' ? getView().allHosts : getView().gatewayHosts
   }
 
-  /** A hall that was not known, or was silent, is told of the whole own one at once. */
-  function meetHalls (rank: number): void {
-    const { halls, allHosts } = look()
-    const met = halls.filter(({ zone }) => !knownHalls.has(zone))
-    if (met.length > 0) sendTo(met, describeHosts([ownHost, ...allHosts], true), 'all', rank)
-    if (met.length > 0 || halls.length !== knownHalls.size) knownHalls = new Set(halls.map(({ zone }) => zone))
+  /** Sends a complete digest of the own hall at once to halls that were not known or were silent. */
+  function announceToNewHalls (rank: number): void {
+    const { halls, allHosts } = getView()
+    const newHalls = halls.filter(({ zone }) => !knownHalls.has(zone))
+    if (newHalls.length > 0) sendToHalls(newHalls, describeHosts([ownHost, ...allHosts], true), 'all', rank)
+    if (newHalls.length > 0 || halls.length !== knownHalls.size) knownHalls = new Set(halls.map(({ zone }) => zone))
   }
 
-  /** Each of two relays sends every second digest, its datagrams one after the other; agents hear those of the first relay. */
-  function relayRound (rank: number): void {
-    const { intervals, candidates } = look()
-    nextRoundAt = Math.max(nextRoundAt, now() - LATE_MS) + relays.RELAYS * intervals.digestMs
-    if (rank === 0) for (const { host } of candidates.slice(0, relays.RELAYS + 1)) send(host, wire.formatSign(true))
-    const audience = rank === 0 || now() - newcomerAt < NEWCOMER_MS ? 'all' : 'gateways'
-    const hosts = [ownHost, ...look().allHosts].sort()
-    const parts = Math.ceil(hosts.length / MEMBERS_IN_PART)
+  /** Each of the two relays sends every second digest, its datagrams distributed over the interval; agents get those of the first relay. */
+  function sendDigestRound (rank: number): void {
+    const { intervals, candidates } = getView()
+    nextDigestRoundAt = Math.max(nextDigestRoundAt, now() - ROUND_LATENESS_MS) + relays.RELAYS_PER_HALL * intervals.digestMs
+    if (rank === 0) for (const { host } of candidates.slice(0, relays.RELAYS_PER_HALL + 1)) send(host, wire.formatKeepalive(true))
+    const audience = rank === 0 || now() - newMemberAt < NEW_MEMBER_MS ? 'all' : 'gateways'
+    const hosts = [ownHost, ...getView().allHosts].sort()
+    const parts = Math.ceil(hosts.length / MEMBERS_PER_DATAGRAM)
     for (let part = 0; part < parts; part += 1) {
-      const told = hosts.filter((_, at) => Math.floor(at * parts / hosts.length) === part)
-      options.later(part * intervals.digestMs / parts, () => { sendTo(look().halls, describeHosts(told, part === 0), audience, rank) })
+      const partHosts = hosts.filter((_, at) => Math.floor(at * parts / hosts.length) === part)
+      options.schedule(part * intervals.digestMs / parts, () => { sendToHalls(getView().halls, describeHosts(partHosts, part === 0), audience, rank) })
     }
   }
 
-  /** Tells gateways of the own hall who was heard of since the last time, and everybody of all now and then. */
-  function hallRound (): void {
-    const { intervals, near } = look()
-    nextHallRoundAt = Math.max(nextHallRoundAt, now() - LATE_MS) + relays.RELAYS * intervals.roundMs
-    const isWhole = now() - wholeToldAt >= relays.RELAYS * rates.WHOLE_ROUND_MS
-    const heard = near.filter(({ heardAt }) => isWhole || heardAt > hallToldAt)
-    hallToldAt = now()
-    if (isWhole) wholeToldAt = now()
-    const audience = isWhole ? 'all' : 'gateways'
-    const own = { host: ownHost, ageMs: 0, delayMs: 0, engine: options.describeSelf().engine }
-    for (const body of wire.formatRound(options.describeSelf().zone, [own, ...heard.map(tellMember)])) passOn(rotate(listAudience(audience)), { audience, first: ownHost }, 0, body, 1)
+  /** Sends gateways of the own hall updates of the members heard of since the last round, and in a full round all members updates of all. */
+  function sendHallRound (): void {
+    const { intervals, near } = getView()
+    nextHallRoundAt = Math.max(nextHallRoundAt, now() - ROUND_LATENESS_MS) + relays.RELAYS_PER_HALL * intervals.hallRoundMs
+    const isFull = now() - lastFullRoundAt >= relays.RELAYS_PER_HALL * rates.FULL_ROUND_MS
+    const updated = near.filter(({ heardAt }) => isFull || heardAt > lastHallRoundAt)
+    lastHallRoundAt = now()
+    if (isFull) lastFullRoundAt = now()
+    const audience = isFull ? 'all' : 'gateways'
+    const ownUpdate = { host: ownHost, ageMs: 0, delayMs: 0, engine: options.describeSelf().engine }
+    for (const body of wire.formatUpdates(options.describeSelf().zone, [ownUpdate, ...updated.map(createMemberUpdate)])) forwardTo(rotateStart(listAudienceHosts(audience)), { audience, ingressHost: ownHost }, 0, body, 1)
   }
 
-  function tellMember ({ heartbeat, heardAt, toldAt, delayMs }: memberTable.Member): wire.ToldMember {
+  function createMemberUpdate ({ heartbeat, heardAt, reportedAt, delayMs }: memberTable.Member): wire.MemberUpdate {
     const { host, engine } = heartbeat
-    return { host, delayMs, engine, ageMs: now() - (engine === null ? heardAt : toldAt) }
+    return { host, delayMs, engine, ageMs: now() - (engine === null ? heardAt : reportedAt) }
   }
 
-  function describeHosts (hosts: readonly string[], isWithHall: boolean): wire.News {
+  function describeHosts (hosts: readonly string[], includesHall: boolean): wire.HallDigest {
     const self = options.describeSelf()
     const members = hosts.flatMap((host): wire.DigestMember[] => {
       if (host === ownHost) return [{ heartbeat: self, ageMs: 0, delayMs: 0 }]
       const member = options.find(host)
       if (member === undefined) return []
-      const { heartbeat, heardAt, toldAt, delayMs } = member
-      return [{ heartbeat, delayMs, ageMs: now() - (heartbeat.engine === null ? heardAt : toldAt) }]
+      const { heartbeat, heardAt, reportedAt, delayMs } = member
+      return [{ heartbeat, delayMs, ageMs: now() - (heartbeat.engine === null ? heardAt : reportedAt) }]
     })
-    return { zone: self.zone, members, copies: isWithHall ? collectOwn() : {}, versions: isWithHall ? self.versions : [] }
+    return { zone: self.zone, members, copies: includesHall ? collectOwnCopies() : {}, versions: includesHall ? self.versions : [] }
   }
 
-  function collectOwn (): wire.HallCopies {
-    return hallNews.collectCopies([options.describeSelf(), ...look().near.map((member) => member.heartbeat)])
+  function collectOwnCopies (): wire.HallCopies {
+    return hallCopies.collectCopies([options.describeSelf(), ...getView().near.map((member) => member.heartbeat)])
   }
 
-  /** To one member of each hall: the relay of the same rank, so that two relays keep two ways. */
-  function sendTo (halls: readonly fleetView.FarHall[], digest: wire.News, audience: wire.Audience, rank: number): void {
+  /** Sends to the relay of the same rank in each hall, so that the two relays use separate paths. */
+  function sendToHalls (halls: readonly fleetView.FarHall[], digest: wire.HallDigest, audience: wire.Audience, rank: number): void {
     if (halls.length === 0) return
-    const bodies = wire.formatBodies(digest)
+    const bodies = wire.formatDigestBodies(digest)
     for (const { candidates } of halls) {
       const to = candidates[rank] ?? candidates[0]
       if (to === undefined) continue
-      for (const body of bodies) send(to.host, wire.formatDigest({ sentAt: now(), delayMs: 0, audience, range: null, first: '' }, body))
+      for (const body of bodies) send(to.host, wire.formatDigest({ sentAt: now(), delayMs: 0, audience, range: null, ingressHost: '' }, body))
     }
   }
 
-  function relayAtOnce (host: string, audience: wire.Audience, mergeMs: number): void {
-    if (look().rank < 0) return
-    options.later(mergeMs, flushUrgent)
-    urgent.set(host, audience === 'all' || urgent.get(host) === 'all' ? 'all' : audience)
+  function scheduleUrgent (host: string, audience: wire.Audience, mergeMs: number): void {
+    if (getView().rank < 0) return
+    options.schedule(mergeMs, sendUrgent)
+    urgentHosts.set(host, audience === 'all' || urgentHosts.get(host) === 'all' ? 'all' : audience)
   }
 
-  function flushUrgent (): void {
-    if (urgent.size === 0) return
-    const audience = [...urgent.values()].includes('all') ? 'all' : 'gateways'
-    const hosts = [...urgent.keys()]
-    urgent.clear()
-    sendTo(look().halls, describeHosts(hosts, false), audience, Math.max(0, look().rank))
+  function sendUrgent (): void {
+    if (urgentHosts.size === 0) return
+    const audience = [...urgentHosts.values()].includes('all') ? 'all' : 'gateways'
+    const hosts = [...urgentHosts.keys()]
+    urgentHosts.clear()
+    sendToHalls(getView().halls, describeHosts(hosts, false), audience, Math.max(0, getView().rank))
   }
 
   return {
-    spread,
-    collectOwn,
+    forwardDigest,
+    collectOwnCopies,
     tick: () => {
-      const { rank } = look()
+      const { rank } = getView()
       if (rank < 0) return
-      meetHalls(rank)
-      if (now() >= nextRoundAt) relayRound(rank)
-      if (look().isRelayed && now() >= nextHallRoundAt) hallRound()
+      announceToNewHalls(rank)
+      if (now() >= nextDigestRoundAt) sendDigestRound(rank)
+      if (getView().isRelayed && now() >= nextHallRoundAt) sendHallRound()
     },
-    noteHallRound: () => { if (look().rank > 0) nextHallRoundAt = now() + look().intervals.roundMs },
-    noteRound: () => { if (look().rank > 0) nextRoundAt = now() + look().intervals.digestMs },
-    tellNewcomer: (host) => {
-      newcomerAt = now()
-      relayAtOnce(host, 'all', NEWCOMER_MERGE_MS)
+    noteHallRound: () => { if (getView().rank > 0) nextHallRoundAt = now() + getView().intervals.hallRoundMs },
+    noteDigestRound: () => { if (getView().rank > 0) nextDigestRoundAt = now() + getView().intervals.digestMs },
+    announceNewMember: (host) => {
+      newMemberAt = now()
+      scheduleUrgent(host, 'all', NEW_MEMBER_MERGE_MS)
     },
-    tellAtOnce: (host, audience) => { relayAtOnce(host, audience, RELAY_MERGE_MS) },
-    tellChange: (news) => {
-      const [body] = wire.formatBodies(news)
-      if (body !== undefined) passOn(rotate(listAudience('all')), { audience: 'all', first: ownHost }, 0, body)
-      if (look().rank === 0) sendTo(look().halls, news, 'all', 0)
+    announceMember: (host, audience) => { scheduleUrgent(host, audience, RELAY_MERGE_MS) },
+    broadcastChange: (digest) => {
+      const [body] = wire.formatDigestBodies(digest)
+      if (body !== undefined) forwardTo(rotateStart(listAudienceHosts('all')), { audience: 'all', ingressHost: ownHost }, 0, body)
+      if (getView().rank === 0) sendToHalls(getView().halls, digest, 'all', 0)
     }
   }
 }
--- a/packages/spread/src/_lib/fleetTesting.ts
+++ b/packages/spread/src/_lib/fleetTesting.ts
@@ -1,4 +1,4 @@
-/** Fleets of exchanges on a network in memory, with the bytes that each daemon sends and takes in. */
+/** Test fleets of gossiping daemons on a simulated network, with the traffic of each daemon. */
 import type * as nodeTest from 'node:test'
 import * as standins from '@switchridge/standins'
 import type * as store from '@switchridge/store'
@@ -11,9 +11,9 @@
   readonly gateways: number
   readonly agents: number
   readonly halls: number
-  /** Part of all datagrams that gets lost. */
+  /** Fraction of all datagrams that is lost. */
   readonly loss?: number
-  /** Seeds of a daemon; the first gateway of the first three halls if absent. */
+  /** Seeds of a daemon; the first three daemons by default, which are gateways of different halls where there are that many. */
   readonly seedsOf?: (daemon: PlannedDaemon, all: readonly PlannedDaemon[]) => string[]
 }
 
@@ -29,30 +29,30 @@
 export interface TestDaemon extends PlannedDaemon {
   readonly gossip: createGossip.Gossip
   readonly traffic: Traffic
-  /** When the newest report of each engine that it heard of was made, by host. */
+  /** Time at which the newest received report of each engine was created, by host. */
   readonly reports: Map<string, number>
   readonly dropped: string[]
-  /** `watchedAt`: moves with each answer of the store, also where nothing changed. */
+  /** `watchedAt`: advances with each answer of the store, also if nothing changed. */
   readonly state: { revision: number, watchedAt: number, isLeaving: boolean, isStoreLost: boolean, isPaused: boolean, suspects: string[] }
-  /** Hosts of pauses that it heard of, with the time. */
+  /** Hosts of paused engines that it heard of, with the time. */
   readonly pauses: Map<string, number>
-  /** Newest revision that it heard of, with the host that told of it. */
-  readonly heard: { revision: number, host: string }
-  /** Ages of versions as they were last told. */
+  /** Newest revision that it heard of, with the host that announced it. */
+  readonly newestRevision: { revision: number, host: string }
+  /** Ages of versions as last received. */
   readonly versionAges: Map<number, number>
-  /** Whole heartbeats that came, with the times. */
-  readonly beats: Array<{ readonly host: string, readonly at: number }>
+  /** Received heartbeats, with their times. */
+  readonly heartbeats: Array<{ readonly host: string, readonly at: number }>
 }
 
-/** Bytes with headers, and datagrams. */
+/** Bytes including headers, and datagrams. */
 export interface Traffic {
   bytesIn: number
   bytesOut: number
   datagramsIn: number
   datagramsOut: number
-  /** Looks at what is due; each is a wake-up, as each datagram that comes in. */
-  looks: number
-  /** Part of the bytes in: digests that tell of changed copies only. */
+  /** Ticks of the daemon; each one is a wake-up, as is each received datagram. */
+  ticks: number
+  /** Part of the received bytes: digests that only announce changed copies. */
   changeBytesIn: number
 }
 
@@ -60,15 +60,15 @@
 export interface TestFleet {
   readonly daemons: readonly TestDaemon[]
   readonly network: standins.LinkNetwork
-  /** Lets time pass; `each` is called after each millisecond. */
-  readonly pass: (milliseconds: number, each?: (at: number) => void) => void
-  /** From now on nothing goes from one host to the other where this holds. */
-  readonly block: (isBlocked: (from: string, to: string) => boolean) => void
-  /** Hands a daemon a datagram as if it came from a host. */
+  /** Advances the time; `each` is called after each millisecond. */
+  readonly advance: (milliseconds: number, each?: (at: number) => void) => void
+  /** Drops from now on all datagrams between two hosts for which the function returns true. */
+  readonly block: (isLinkBlocked: (from: string, to: string) => boolean) => void
+  /** Delivers a datagram to a daemon as if it came from a host. */
   readonly inject: (from: string, to: string, bytes: Buffer) => void
-  /** Ends a daemon without a word and starts one with its host and name; the clock of the new one begins anew. */
+  /** Stops a daemon without an announcement and starts one with its host and name, whose clock begins at zero. */
   readonly restart: (daemon: TestDaemon) => Promise<TestDaemon>
-  /** Sets all counts to zero. */
+  /** Resets all counts. */
   readonly resetTraffic: () => void
 }
 
@@ -79,17 +79,17 @@
 const NEAR_MS = 0.5
 const FAR_MS = 3
 const REGIONS = 3
-/** All daemons start within this. */
+/** All daemons start within this time. */
 const START_MS = 300
 const HEADER_BYTES = 28
 const SEEDS = 3
 const HOSTS_IN_NET = 250
-const SEED_OF_RANDOM = 7
+const RANDOM_SEED = 7
 const MODULUS = 2_147_483_647
 const MULTIPLIER = 48_271
 
-/** Numbers from 0 to 1, the same ones in each run. */
-export function createRandom (seed = SEED_OF_RANDOM): () => number {
+/** Creates a generator of numbers from 0 to 1 that returns the same sequence in each run. */
+export function createRandom (seed = RANDOM_SEED): () => number {
   let state = seed
   return () => {
     state = state * MULTIPLIER % MODULUS
@@ -111,26 +111,26 @@
   return all.slice(0, SEEDS).map((each) => each.host)
 }
 
-/** In the length of what an agent says: port, flags, next change, the engine's counts, its version and its life. */
+/** An engine report of realistic length: port, flags, next change, the engine's counts, its version and its incarnation. */
 function formatEngine (isPaused: boolean): unknown {
   return [9000, isPaused ? 1 : 0, null, 3, 1, 123, 1.234, 3, String(Date.now()).padStart(8, '0')]
 }
 
-function readEngine (engine: unknown): { madeAt: number, isPaused: boolean } {
+function parseEngine (engine: unknown): { madeAt: number, isPaused: boolean } {
   const [, isPaused, , , , , , , madeAt] = engine as [number, number, null, number, number, number, number, number, string]
   return { madeAt: Number(madeAt), isPaused: isPaused === 1 }
 }
 
-function nameOf ({ host, role }: Pick<PlannedDaemon, 'host' | 'role'>): types.NodeId {
+function formatNodeId ({ host, role }: Pick<PlannedDaemon, 'host' | 'role'>): types.NodeId {
   return types.brandId(`${role}-${host.split('.').slice(2).join('-')}`)
 }
 
-/** Describes a daemon as far as its rank depends on it. */
+/** Describes a daemon with the fields that its rank depends on. */
 export function describeForRank ({ host, role, zone }: PlannedDaemon): createGossip.Heartbeat {
-  return { node: nameOf({ host, role }), role, zone, host, isLeaving: false, isStoreLost: false, copies: {}, versions: [], suspects: [], engine: null }
+  return { node: formatNodeId({ host, role }), role, zone, host, isLeaving: false, isStoreLost: false, copies: {}, versions: [], suspects: [], engine: null }
 }
 
-/** In the length of a real copy's state; `at` may be further than what last changed. */
+/** The state of a copy, of realistic length; `at` may be later than the last change. */
 function describeCopy (changedAt: number, at = changedAt): store.CopyState {
   return { at, digest: `d${changedAt}`.padEnd(8, 'x') }
 }
@@ -140,47 +140,47 @@
   const versions = [1, 2, 3].map((version) => ({ model: 'base', version, ageMs: 60_000.25 - version * 1000 }))
   const copies = { configuration: describeCopy(100), versions: describeCopy(1000 + state.revision), ...(role === 'gateway' ? { servers: describeCopy(10_000, 10_000 + state.watchedAt) } : {}) }
   const engine = role === 'agent' ? formatEngine(state.isPaused) : null
-  return { node: nameOf(planned), role, zone, host, isLeaving: state.isLeaving, isStoreLost: state.isStoreLost, copies, versions, suspects: state.suspects, engine }
+  return { node: formatNodeId(planned), role, zone, host, isLeaving: state.isLeaving, isStoreLost: state.isStoreLost, copies, versions, suspects: state.suspects, engine }
 }
 
-function isBeat (bytes: Buffer): boolean {
+function isHeartbeat (bytes: Buffer): boolean {
   const decoded = wire.decode(bytes)
   return decoded.ok && decoded.message.type === 'heartbeat'
 }
 
-/** Whether a datagram is a digest without members. */
-function isChange (bytes: Buffer): boolean {
+/** Tells whether a datagram is a digest without members. */
+function isChangeDigest (bytes: Buffer): boolean {
   const decoded = wire.decode(bytes)
   return decoded.ok && decoded.message.type === 'digest' && decoded.message.digest.members.length === 0
 }
 
-/** Starts a fleet within {@link START_MS}, in an order that is the same in each run. */
+/** Starts the daemons of a fleet within {@link START_MS}, in an order that is the same in each run. */
 export async function startFleet (context: nodeTest.TestContext, plan: FleetPlan): Promise<TestFleet> {
   context.mock.timers.enable({ apis: ['setInterval', 'setTimeout', 'Date'], now: 1_000_000 })
   const random = createRandom()
   const planned = planDaemons(plan)
   const hosts = planned.map(({ host, region, role }) => ({ host, region, bytesPerMs: role === 'agent' ? AGENT_BYTES_PER_MS : GATEWAY_BYTES_PER_MS }))
   const network = standins.createLinkNetwork({ hosts, regionBytesPerMs: REGION_BYTES_PER_MS, nearMs: NEAR_MS, farMs: FAR_MS, now: Date.now })
-  let isBlocked = (_from: string, _to: string): boolean => false
+  let isLinkBlocked = (_from: string, _to: string): boolean => false
   const daemons: TestDaemon[] = []
   const receivers = new Map<string, (bytes: Buffer, from: string) => void>()
 
-  function pass (milliseconds: number, each?: (at: number) => void): void {
+  function advance (milliseconds: number, each?: (at: number) => void): void {
     for (let at = 0; at < milliseconds; at += 1) {
       context.mock.timers.tick(1)
       each?.(at)
     }
   }
 
-  function open (host: string, traffic: Traffic, beats: TestDaemon['beats']): Parameters<typeof createGossip.createGossip>[0]['openDatagrams'] {
+  function open (host: string, traffic: Traffic, heartbeats: TestDaemon['heartbeats']): Parameters<typeof createGossip.createGossip>[0]['openDatagrams'] {
     return async (onDatagram) => {
       receivers.set(host, onDatagram)
       const socket = network.openDatagrams(host, (bytes, from) => {
-        if (isBlocked(from, host)) return
+        if (isLinkBlocked(from, host)) return
         traffic.bytesIn += bytes.length + HEADER_BYTES
         traffic.datagramsIn += 1
-        if (isBeat(bytes)) beats.push({ host: from, at: Date.now() })
-        if (isChange(bytes)) traffic.changeBytesIn += bytes.length + HEADER_BYTES
+        if (isHeartbeat(bytes)) heartbeats.push({ host: from, at: Date.now() })
+        if (isChangeDigest(bytes)) traffic.changeBytesIn += bytes.length + HEADER_BYTES
         onDatagram(bytes, from)
       })
       const send = (to: string, bytes: Buffer): void => {
@@ -192,65 +192,65 @@
     }
   }
 
-  async function start (each: PlannedDaemon, clockBegan = 0): Promise<TestDaemon> {
-    const traffic = { bytesIn: 0, bytesOut: 0, datagramsIn: 0, datagramsOut: 0, looks: 0, changeBytesIn: 0 }
+  async function start (each: PlannedDaemon, clockOrigin = 0): Promise<TestDaemon> {
+    const traffic = { bytesIn: 0, bytesOut: 0, datagramsIn: 0, datagramsOut: 0, ticks: 0, changeBytesIn: 0 }
     const state = { revision: 0, watchedAt: 0, isLeaving: false, isStoreLost: false, isPaused: false, suspects: [] }
     const reports = new Map<string, number>()
     const pauses = new Map<string, number>()
-    const heard = { revision: 0, host: '' }
+    const newestRevision = { revision: 0, host: '' }
     const dropped: string[] = []
     const versionAges = new Map<number, number>()
-    const beats: TestDaemon['beats'] = []
+    const heartbeats: TestDaemon['heartbeats'] = []
     const gossip = await createGossip.createGossip({
       clock: { isUncertain: () => false, noteOther: () => {} },
       host: each.host,
-      openDatagrams: open(each.host, traffic, beats),
+      openDatagrams: open(each.host, traffic, heartbeats),
       seeds: (plan.seedsOf ?? seedsOf)(each, planned),
       describeSelf: () => describe(each, state),
       onHeartbeat: (heartbeat) => {
         const revision = heartbeat.copies['versions']?.at ?? 0
-        if (revision > heard.revision) Object.assign(heard, { revision, host: heartbeat.host })
+        if (revision > newestRevision.revision) Object.assign(newestRevision, { revision, host: heartbeat.host })
         for (const { version, ageMs } of heartbeat.versions) versionAges.set(version, ageMs)
         if (heartbeat.engine === null) return
-        const { madeAt, isPaused } = readEngine(heartbeat.engine)
+        const { madeAt, isPaused } = parseEngine(heartbeat.engine)
         reports.set(heartbeat.host, Math.max(madeAt, reports.get(heartbeat.host) ?? 0))
         if (isPaused && !pauses.has(heartbeat.host)) pauses.set(heartbeat.host, Date.now())
       },
       onDrop: (reason) => { dropped.push(reason) },
-      onTick: () => { traffic.looks += 1 },
-      now: () => Date.now() - clockBegan
+      onTick: () => { traffic.ticks += 1 },
+      now: () => Date.now() - clockOrigin
     })
     context.after(gossip.stop)
-    return { ...each, gossip, traffic, reports, dropped, state, pauses, heard, beats, versionAges }
+    return { ...each, gossip, traffic, reports, dropped, state, pauses, newestRevision, heartbeats, versionAges }
   }
 
   const order = planned.map((each) => ({ each, at: random() * START_MS })).sort((left, right) => left.at - right.at)
-  let passed = 0
+  let elapsedMs = 0
   for (const { each, at } of order) {
-    while (passed < at) {
-      pass(1)
-      passed += 1
+    while (elapsedMs < at) {
+      advance(1)
+      elapsedMs += 1
     }
     daemons.push(await start(each))
   }
   return {
     daemons,
     network,
-    pass,
+    advance,
     inject: (from, to, bytes) => { receivers.get(to)?.(bytes, from) },
     restart: async (daemon) => {
       daemon.gossip.stop()
       return await start(daemon, Date.now())
     },
-    block: (next) => { isBlocked = next },
+    block: (next) => { isLinkBlocked = next },
     resetTraffic: () => {
-      for (const { traffic } of daemons) Object.assign(traffic, { bytesIn: 0, bytesOut: 0, datagramsIn: 0, datagramsOut: 0, looks: 0, changeBytesIn: 0 })
+      for (const { traffic } of daemons) Object.assign(traffic, { bytesIn: 0, bytesOut: 0, datagramsIn: 0, datagramsOut: 0, ticks: 0, changeBytesIn: 0 })
       network.counts.regionBytes = 0
     }
   }
 }
 
-/** How many others of its hall, and of other halls, a daemon takes for live. */
+/** Counts the other members of its hall, and those of other halls, that a daemon considers live. */
 export function countLive (daemon: TestDaemon): { near: number, far: number } {
   const live = daemon.gossip.peers().filter(daemon.gossip.isLive)
   const near = live.filter((peer) => peer.heartbeat.zone === daemon.zone).length
--- a/packages/spread/src/_lib/fleetView.ts
+++ b/packages/spread/src/_lib/fleetView.ts
@@ -1,70 +1,70 @@
-/** The fleet as one daemon sees it at a moment: who lives, who speaks for which hall, and how often to tell what. */
+/** The fleet as one daemon sees it at a moment: live members, the relays of each hall, and the send intervals. */
 import * as hashes from './hashes.js'
 import type * as heartbeats from './heartbeat.js'
 import type * as memberTable from './memberTable.js'
 import * as rates from './rates.js'
 import * as relays from './relays.js'
 
-/** Another hall. */
+/** A data hall other than the daemon's own. */
 export interface FarHall {
   readonly zone: string
   readonly live: readonly memberTable.Member[]
-  /** Those to speak to, the best first. */
+  /** Members that digests for the hall are sent to, the highest rank first. */
   readonly candidates: readonly heartbeats.Heartbeat[]
 }
 
-/** The view. */
+/** The fleet as one daemon sees it. */
 export interface FleetView {
   readonly intervals: rates.Intervals
-  /** Live members of the own hall without this daemon. */
+  /** Live members of the own hall, without this daemon. */
   readonly near: readonly memberTable.Member[]
   /** Known members of the own hall that are silent. */
   readonly silent: readonly memberTable.Member[]
   readonly halls: readonly FarHall[]
   /**
-   * Those that speak for the own hall or would follow, this daemon included if it is one, the best first; after them
-   * those of better rank that are silent, which hear of others so that they can take their place again.
+   * Relays of the own hall and their standbys, this daemon included if it is one, the highest rank first; after them
+   * the silent members of higher rank, which get keepalives too so that they can become relays again.
    */
   readonly candidates: readonly heartbeats.Heartbeat[]
-  /** Those that hear often whether candidates live. */
+  /** Members that get frequent keepalives of the candidates. */
   readonly listeners: readonly heartbeats.Heartbeat[]
-  /** Hosts of the members that speak for the own hall. */
+  /** Hosts of the relays of the own hall. */
   readonly relayHosts: ReadonlySet<string>
-  /** Whether members of the own hall hear of each other by its relays. */
+  /** Whether members of the own hall learn of each other through its relays. */
   readonly isRelayed: boolean
-  /** Position among those that speak for the own hall; -1 if it does not. */
+  /** This daemon's rank among the relays of the own hall; -1 if it is no relay. */
   readonly rank: number
-  /** Hosts of live members of the own hall that are gateways, and of all, sorted, without this daemon. */
+  /** Hosts of the live gateways of the own hall, and of all its live members, sorted, without this daemon. */
   readonly gatewayHosts: readonly string[]
   readonly allHosts: readonly string[]
-  /** Hosts of live members of the own hall whose next sign of life is overdue: they are not relied on to pass anything on. */
+  /** Hosts of live members of the own hall whose next keepalive is overdue: they are not relied on as forwarders. */
   readonly overdueHosts: ReadonlySet<string>
-  /** Same number on daemons that know the same hosts of the hall and the same other halls. */
-  readonly hash: number
+  /** Equal on daemons that know the same hosts of the hall and the same other halls. */
+  readonly viewHash: number
 }
 
-/** A silent peer counts as not live after so many intervals. */
+/** A peer counts as live until it was silent for so many intervals. */
 const LIVE_INTERVALS = 3.2
-/** Rounds of digests that may be lost on their hops before a member of another hall counts as silent. */
-const LOST_ROUNDS = 3
-/** The same of rounds within a relayed hall: otherwise live members would be taken for silent while some datagrams are lost. */
-const LOST_WHOLE_ROUNDS = 2
-/** At the shortest interval, one second. */
+/** Digest rounds that may be lost on their hops before a member of another hall counts as silent. */
+const TOLERATED_LOST_ROUNDS = 3
+/** The same for full rounds within a relayed hall: with fewer, live members would count as silent while some datagrams are lost. */
+const TOLERATED_LOST_FULL_ROUNDS = 2
+/** Silence limit at the shortest heartbeat interval, which is one second. */
 export const PEER_LIVE_MS = 3200
-/** A relay gives signs of life each 330 ms; three of them may be lost before another one takes its place. */
+/** A relay sends a keepalive every 330 ms; it is replaced when three in a row are missing. */
 const RELAY_LIVE_MS = 1000
 
 /**
- * Milliseconds of silence after which a peer counts as not live.
+ * Computes the silence after which a peer no longer counts as live.
  *
- * @param isNear - Whether it is of the own hall.
- * @param intervals - Intervals now.
- * @returns Milliseconds; what comes by digests is older by some rounds of both relays.
+ * @param isNear - Whether the peer belongs to the own hall.
+ * @param intervals - The current intervals.
+ * @returns Milliseconds; longer for members known by digests, which arrive some rounds of both relays late.
  */
 export function computeLiveMs (isNear: boolean, intervals: rates.Intervals): number {
-  const beats = Math.max(PEER_LIVE_MS, LIVE_INTERVALS * Math.min(intervals.heartbeatMs, intervals.signMs))
-  if (isNear && intervals.roundMs < Infinity) return beats + LOST_WHOLE_ROUNDS * rates.WHOLE_ROUND_MS
-  return isNear ? beats : beats + LOST_ROUNDS * relays.RELAYS * intervals.digestMs
+  const heartbeatSilenceMs = Math.max(PEER_LIVE_MS, LIVE_INTERVALS * Math.min(intervals.heartbeatMs, intervals.keepaliveMs))
+  if (isNear && intervals.hallRoundMs < Infinity) return heartbeatSilenceMs + TOLERATED_LOST_FULL_ROUNDS * rates.FULL_ROUND_MS
+  return isNear ? heartbeatSilenceMs : heartbeatSilenceMs + TOLERATED_LOST_ROUNDS * relays.RELAYS_PER_HALL * intervals.digestMs
 }
 
 function countRole (members: readonly memberTable.Member[], role: heartbeats.Heartbeat['role']): number {
@@ -72,54 +72,54 @@
 }
 
 /**
- * The members of a hall whose word is about as new as the newest one of their hall. Words of a sound hall lie a round of
- * digests apart, however old all of them are; that of a frozen one stays behind.
+ * Selects the members of a hall that were heard of about as lately as the newest one of their hall. In a healthy hall these
+ * times lie within one digest round, however old all of them are; the time of a frozen member falls behind.
  */
-function selectHeard (live: readonly memberTable.Member[], intervals: rates.Intervals): memberTable.Member[] {
+function selectUpToDate (live: readonly memberTable.Member[], intervals: rates.Intervals): memberTable.Member[] {
   const newestAt = live.reduce((newest, member) => Math.max(newest, member.heardAt), -Infinity)
   return live.filter((member) => newestAt - member.heardAt <= RELAY_LIVE_MS + intervals.digestMs)
 }
 
 function describeHall (zone: string, live: readonly memberTable.Member[], intervals: rates.Intervals): FarHall {
-  const heard = relays.rankCandidates(selectHeard(live, intervals).map((member) => member.heartbeat), zone)
-  return { zone, live, candidates: heard }
+  const candidates = relays.rankCandidates(selectUpToDate(live, intervals).map((member) => member.heartbeat), zone)
+  return { zone, live, candidates }
 }
 
-interface Speakers {
-  /** The first few that are not silent, this daemon included if it is one. */
-  readonly speaking: readonly heartbeats.Heartbeat[]
-  /** The first few whether silent or not, in the same order. */
-  readonly first: readonly heartbeats.Heartbeat[]
+interface RelayCandidates {
+  /** The highest-ranked members that are not silent, this daemon included if it is one. */
+  readonly responsive: readonly heartbeats.Heartbeat[]
+  /** The highest-ranked members, silent or not, in the same order. */
+  readonly preferred: readonly heartbeats.Heartbeat[]
 }
 
-/** The first few of a hall hear each other every {@link RELAY_LIVE_MS} at least; all others, and they of others, at each sign. */
-function findSpeakers (self: heartbeats.Heartbeat, near: readonly memberTable.Member[], overdue: ReadonlySet<string>, now: number): Speakers {
-  const first = relays.rankCandidates([self, ...near.map((member) => member.heartbeat)], self.zone)
-  const isFirst = first.some(({ host }) => host === self.host)
-  const firstHosts = new Set(first.map(({ host }) => host))
-  const isSilent = ({ heartbeat: { host }, heardAt }: memberTable.Member): boolean => overdue.has(host) || (isFirst && firstHosts.has(host) && now - heardAt > RELAY_LIVE_MS)
-  const heard = near.filter((member) => !isSilent(member)).map((member) => member.heartbeat)
-  return { first, speaking: relays.rankCandidates([self, ...heard], self.zone) }
+/** The highest-ranked members of a hall hear of each other at least every {@link RELAY_LIVE_MS}; any other two members only at each keepalive. */
+function findRelayCandidates (self: heartbeats.Heartbeat, near: readonly memberTable.Member[], overdue: ReadonlySet<string>, now: number): RelayCandidates {
+  const preferred = relays.rankCandidates([self, ...near.map((member) => member.heartbeat)], self.zone)
+  const isPreferred = preferred.some(({ host }) => host === self.host)
+  const preferredHosts = new Set(preferred.map(({ host }) => host))
+  const isSilent = ({ heartbeat: { host }, heardAt }: memberTable.Member): boolean => overdue.has(host) || (isPreferred && preferredHosts.has(host) && now - heardAt > RELAY_LIVE_MS)
+  const notSilent = near.filter((member) => !isSilent(member)).map((member) => member.heartbeat)
+  return { preferred, responsive: relays.rankCandidates([self, ...notSilent], self.zone) }
 }
 
 /**
- * Looks at the fleet.
+ * Computes the view of the fleet.
  *
- * @param members - All that are known.
+ * @param members - All known members.
  * @param self - This daemon.
- * @param now - Milliseconds.
- * @param before - Intervals of the view before this one.
+ * @param now - Monotonic time in milliseconds.
+ * @param previousIntervals - Intervals of the previous view.
  * @returns The view.
  */
-export function viewFleet (members: readonly memberTable.Member[], self: heartbeats.Heartbeat, now: number, before: rates.Intervals): FleetView {
-  const limits = { near: now - computeLiveMs(true, before), far: now - computeLiveMs(false, before) }
+export function computeFleetView (members: readonly memberTable.Member[], self: heartbeats.Heartbeat, now: number, previousIntervals: rates.Intervals): FleetView {
+  const oldestHeardAt = { near: now - computeLiveMs(true, previousIntervals), far: now - computeLiveMs(false, previousIntervals) }
   const near: memberTable.Member[] = []
   const silent: memberTable.Member[] = []
   const far: memberTable.Member[] = []
   for (const member of members) {
     const isNear = member.heartbeat.zone === self.zone
-    if (isNear) (member.heardAt >= limits.near ? near : silent).push(member)
-    else if (member.heardAt >= limits.far) far.push(member)
+    if (isNear) (member.heardAt >= oldestHeardAt.near ? near : silent).push(member)
+    else if (member.heardAt >= oldestHeardAt.far) far.push(member)
   }
   const gateways = countRole(near, 'gateway') + (self.role === 'gateway' ? 1 : 0)
   const intervals = rates.computeIntervals({
@@ -135,8 +135,8 @@
     else known.push(member)
   }
   const listeners = relays.rankCandidates([self, ...near.map((member) => member.heartbeat)], self.zone, relays.LISTENERS)
-  const overdueHosts = new Set(near.filter((member) => now - member.heardAt > intervals.signMs + RELAY_LIVE_MS).map((member) => member.heartbeat.host))
-  const { first, speaking } = findSpeakers(self, near, overdueHosts, now)
+  const overdueHosts = new Set(near.filter((member) => now - member.heardAt > intervals.keepaliveMs + RELAY_LIVE_MS).map((member) => member.heartbeat.host))
+  const { preferred, responsive } = findRelayCandidates(self, near, overdueHosts, now)
   const allHosts = near.map((member) => member.heartbeat.host).sort()
   const gatewayHosts = near.filter((member) => member.heartbeat.role === 'gateway').map((member) => member.heartbeat.host).sort()
   return {
@@ -146,12 +146,12 @@
     gatewayHosts,
     silent,
     halls: [...byZone].map(([zone, live]) => describeHall(zone, live, intervals)),
-    candidates: [...new Set([...speaking, ...first])],
+    candidates: [...new Set([...responsive, ...preferred])],
     overdueHosts,
     listeners,
-    relayHosts: new Set(speaking.slice(0, relays.RELAYS).map(({ host }) => host)),
+    relayHosts: new Set(responsive.slice(0, relays.RELAYS_PER_HALL).map(({ host }) => host)),
     isRelayed: rates.isRelayed(gateways),
-    rank: speaking.slice(0, relays.RELAYS).findIndex(({ host }) => host === self.host),
-    hash: hashes.hashWords([self.host, ...allHosts].sort().concat([self.zone, ...byZone.keys()].sort()))
+    rank: responsive.slice(0, relays.RELAYS_PER_HALL).findIndex(({ host }) => host === self.host),
+    viewHash: hashes.hashStrings([self.host, ...allHosts].sort().concat([self.zone, ...byZone.keys()].sort()))
   }
 }
--- a/packages/spread/src/_lib/heartbeat.ts
+++ b/packages/spread/src/_lib/heartbeat.ts
@@ -1,34 +1,34 @@
-/** What daemons tell each other of themselves. */
+/** The state that a daemon announces about itself. */
 import type * as store from '@switchridge/store'
 import type * as types from '@switchridge/types'
 
-/** A version named lately, with the milliseconds since it was heard of. */
-export interface VersionTold {
+/** A version of a model that was announced lately, with the milliseconds since it was first heard of. */
+export interface RecentVersion {
   readonly model: string
   readonly version: number
   readonly ageMs: number
 }
 
-/** How far copies are, by kind of object. */
+/** States of store copies, by kind of object. */
 export type CopyStates = Readonly<Record<string, store.CopyState>>
 
-/** What a daemon says of itself on each heartbeat. */
+/** The state that a daemon sends in each heartbeat. */
 export interface Heartbeat {
   readonly node: types.NodeId
   readonly role: 'gateway' | 'agent'
   readonly zone: string
   readonly host: string
-  /** Whether it still takes new work. */
+  /** Whether it leaves, so that it takes no new work. */
   readonly isLeaving: boolean
   /** Whether the store did not answer its last calls. */
   readonly isStoreLost: boolean
-  /** How far its copies are, by kind of object; of another hall only kinds for which this member speaks. */
+  /** States of its copies, by kind of object; of a member of another hall, only the kinds that its hall announces under its host. */
   readonly copies: CopyStates
-  /** Versions named lately, with the milliseconds since they were heard of. */
-  readonly versions: readonly VersionTold[]
-  /** Peers that failed it or were slow lately. */
+  /** Versions announced lately. */
+  readonly versions: readonly RecentVersion[]
+  /** Peers whose requests failed or were slow lately. */
   readonly suspects: readonly string[]
-  /** What the agent says of its engine; null on a gateway. */
+  /** The agent's report of its engine; null on a gateway. */
   readonly engine: unknown
 }
 
--- a/packages/spread/src/_lib/memberTable.ts
+++ b/packages/spread/src/_lib/memberTable.ts
@@ -1,41 +1,41 @@
-/** What one daemon knows of the others, by host. */
+/** The other daemons that a daemon knows, by host. */
 import type * as heartbeats from './heartbeat.js'
 import type * as wire from './wire.js'
 
-/** A member with what the exchange needs beyond what it tells its users. */
+/** A peer with the fields that only the gossip itself needs. */
 export interface Member extends heartbeats.Peer {
   heartbeat: heartbeats.Heartbeat
-  /** When it last gave a sign of life, by this daemon's clock. */
+  /** When the member was last known to be live, by this daemon's clock. */
   heardAt: number
-  /** When it said what is kept of its engine. */
-  toldAt: number
-  /** How much longer than the fastest one its last heartbeat was under way. */
+  /** When the member sent the engine report that is stored. */
+  reportedAt: number
+  /** Transit time of its last heartbeat, beyond that of the fastest one. */
   delayMs: number
 }
 
-/** The table. */
+/** Table of members. */
 export interface MemberTable {
   readonly get: (host: string) => Member | undefined
   readonly all: () => readonly Member[]
-  /** Notes a whole heartbeat that came directly. */
-  readonly noteWhole: (heartbeat: heartbeats.Heartbeat, delayMs: number, now: number) => void
-  /** Notes what a digest tells; returns whether it is newer than what was known. */
+  /** Records a heartbeat received directly from the member. */
+  readonly noteHeartbeat: (heartbeat: heartbeats.Heartbeat, delayMs: number, now: number) => void
+  /** Records a member of a digest; returns whether it is newer than what was known. */
   readonly noteRelayed: (member: wire.DigestMember, delayMs: number, now: number) => boolean
-  /** Notes that a relay of the own hall heard of a member; what the member says of itself stays as it is known. */
+  /** Records that a relay of the own hall heard of a member; the known state of the member stays. */
   readonly noteHeard: (host: string, heardAt: number) => void
   readonly remove: (host: string) => void
 }
 
-/** Times of a member by two ways differ by the rounding of ages and by delays; less than this is no newer word. */
-const SAME_WORD_MS = 10
+/** Times of one report on two paths differ by rounding and delays; a report that seems newer by less than this is the same one. */
+const SAME_REPORT_MS = 10
 
 /** Creates an empty table. */
 export function createMemberTable (): MemberTable {
   const members = new Map<string, Member>()
-  let listed: readonly Member[] | null = null
+  let cachedMembers: readonly Member[] | null = null
 
-  function set (host: string, member: Member): void {
-    if (!members.has(host)) listed = null
+  function upsert (host: string, member: Member): void {
+    if (!members.has(host)) cachedMembers = null
     const known = members.get(host)
     if (known === undefined) members.set(host, member)
     else Object.assign(known, member)
@@ -44,17 +44,17 @@
   return {
     get: (host) => members.get(host),
     all: () => {
-      listed ??= [...members.values()]
-      return listed
+      cachedMembers ??= [...members.values()]
+      return cachedMembers
     },
-    noteWhole: (heartbeat, delayMs, now) => { set(heartbeat.host, { heartbeat, heardAt: now, toldAt: now, delayMs }) },
+    noteHeartbeat: (heartbeat, delayMs, now) => { upsert(heartbeat.host, { heartbeat, heardAt: now, reportedAt: now, delayMs }) },
     noteRelayed: ({ heartbeat, ageMs }, delayMs, now) => {
       const known = members.get(heartbeat.host)
-      const toldAt = now - ageMs
-      if (known !== undefined && toldAt <= known.toldAt + SAME_WORD_MS) return false
+      const reportedAt = now - ageMs
+      if (known !== undefined && reportedAt <= known.reportedAt + SAME_REPORT_MS) return false
       const isSame = known?.heartbeat.node === heartbeat.node
-      const kept = isSame && known !== undefined ? { ...heartbeat, copies: known.heartbeat.copies, versions: known.heartbeat.versions } : heartbeat
-      set(heartbeat.host, { heartbeat: kept, heardAt: Math.max(toldAt, known?.heardAt ?? toldAt), toldAt, delayMs })
+      const merged = isSame && known !== undefined ? { ...heartbeat, copies: known.heartbeat.copies, versions: known.heartbeat.versions } : heartbeat
+      upsert(heartbeat.host, { heartbeat: merged, heardAt: Math.max(reportedAt, known?.heardAt ?? reportedAt), reportedAt, delayMs })
       return true
     },
     noteHeard: (host, heardAt) => {
@@ -63,7 +63,7 @@
     },
     remove: (host) => {
       members.delete(host)
-      listed = null
+      cachedMembers = null
     }
   }
 }
--- a/packages/spread/src/_lib/wire.test.ts
+++ b/packages/spread/src/_lib/wire.test.ts
@@ -7,7 +7,7 @@
 
 const SEED = 11
 const RUNS = 200
-/** The format keeps tenths of milliseconds. */
+/** The format rounds to tenths of milliseconds. */
 const TENTHS = 10
 const AUDIENCES: readonly wire.Audience[] = ['nobody', 'gateways', 'all']
 
@@ -39,40 +39,40 @@
   return decoded.message
 }
 
-nodeTest.test('a whole heartbeat is read as it was written', () => {
+nodeTest.test('a heartbeat is parsed as it was formatted', () => {
   fastCheck.assert(fastCheck.property(tenths, anyHeartbeat(true), fastCheck.nat(), fastCheck.constantFrom(...AUDIENCES), (sentAt, heartbeat, viewHash, urgency) => {
     assert.deepEqual(decode(wire.formatHeartbeat(sentAt, heartbeat, viewHash, urgency)), { type: 'heartbeat', sentAt, heartbeat, viewHash, urgency })
   }), { seed: SEED, numRuns: RUNS })
 })
 
-nodeTest.test('a digest is read as it was written, over datagrams that stand alone', () => {
+nodeTest.test('a digest is parsed as it was formatted, from datagrams that are complete by themselves', () => {
   const member = fastCheck.record({ heartbeat: anyHeartbeat(false), ageMs: wholeMs, delayMs: wholeMs }, { noNullPrototype: true })
   const copies = fastCheck.dictionary(kind, fastCheck.record({ state, host: fastCheck.string() }, { noNullPrototype: true }), { noNullPrototype: true, maxKeys: 4 })
-  fastCheck.assert(fastCheck.property(fastCheck.array(member, { maxLength: 40 }), copies, fastCheck.array(version, { maxLength: 4 }), (members, told, versions) => {
-    const way: wire.DigestWay = { sentAt: 1, delayMs: 0, audience: 'all', range: ['a', 'b'], first: 'c' }
-    const parts = wire.formatBodies({ zone: 'hall-1', copies: told, versions, members }).map((body) => decode(wire.formatDigest(way, body)))
+  fastCheck.assert(fastCheck.property(fastCheck.array(member, { maxLength: 40 }), copies, fastCheck.array(version, { maxLength: 4 }), (members, hallCopies, versions) => {
+    const header: wire.DigestHeader = { sentAt: 1, delayMs: 0, audience: 'all', range: ['a', 'b'], ingressHost: 'c' }
+    const parts = wire.formatDigestBodies({ zone: 'hall-1', copies: hallCopies, versions, members }).map((body) => decode(wire.formatDigest(header, body)))
     const digests = parts.map((part) => part.type === 'digest' ? part.digest : assert.fail(part.type))
     assert.deepEqual(digests.flatMap((digest) => digest.members), members)
-    assert.deepEqual(digests[0]?.copies, told)
+    assert.deepEqual(digests[0]?.copies, hallCopies)
     assert.deepEqual(digests[0]?.versions, versions)
-    assert.ok(parts.every((part) => part.type === 'digest' && assert.deepEqual(part.way, way) === undefined))
+    assert.ok(parts.every((part) => part.type === 'digest' && assert.deepEqual(part.header, header) === undefined))
   }), { seed: SEED, numRuns: RUNS })
 })
 
-nodeTest.test('a digest of a large hall is cut into datagrams that routers leave whole', () => {
+nodeTest.test('a digest of a large hall is split into datagrams that routers do not fragment', () => {
   const members = Array.from({ length: 160 }, (_, at): wire.DigestMember => ({
     ageMs: 100,
     delayMs: 1,
     heartbeat: { node: types.brandId(`agent-${at}`), role: 'agent', zone: 'hall-1', host: `10.40.0.${at}`, isLeaving: false, isStoreLost: false, copies: {}, versions: [], suspects: [], engine: [`10.40.0.${at}:9000`, 0, null, 3, 0, 12_345, 65_536, 0, 123_456, 0.01234, [['base', 3]]] }
   }))
-  const way: wire.DigestWay = { sentAt: 123_456_789.1, delayMs: 12.3, audience: 'gateways', range: ['10.240.100.100', '10.240.100.200'], first: '10.240.100.150' }
-  const bodies = wire.formatBodies({ zone: 'hall-1', copies: { configuration: { state: { at: 7, digest: 'd7' }, host: '10.40.0.1' } }, versions: [], members })
-  for (const body of bodies) assert.ok(wire.formatDigest(way, body).length <= wire.DATAGRAM_BYTES)
+  const header: wire.DigestHeader = { sentAt: 123_456_789.1, delayMs: 12.3, audience: 'gateways', range: ['10.240.100.100', '10.240.100.200'], ingressHost: '10.240.100.150' }
+  const bodies = wire.formatDigestBodies({ zone: 'hall-1', copies: { configuration: { state: { at: 7, digest: 'd7' }, host: '10.40.0.1' } }, versions: [], members })
+  for (const body of bodies) assert.ok(wire.formatDigest(header, body).length <= wire.DATAGRAM_BYTES)
   const bytes = bodies.reduce((sum, body) => sum + body.length, 0)
   assert.ok(bytes / members.length <= 120, `${bytes / members.length} bytes a member`)
 })
 
-nodeTest.test('any bytes are read or dropped with a reason', () => {
+nodeTest.test('any bytes are parsed or dropped with a reason', () => {
   fastCheck.assert(fastCheck.property(fastCheck.oneof(fastCheck.uint8Array(), fastCheck.json().map((text) => Buffer.from(text)), fastCheck.array(fastCheck.jsonValue()).map((list) => Buffer.from(JSON.stringify(['h', ...list]))), fastCheck.array(fastCheck.jsonValue()).map((list) => Buffer.from(`["d",1,0,1]\n${JSON.stringify(list)}`))), (bytes) => {
     const decoded = wire.decode(Buffer.from(bytes))
     assert.ok(decoded.ok || ['not-json', 'unknown-kind', 'bad-shape'].includes(decoded.reason))
--- a/packages/spread/src/_lib/wire.ts
+++ b/packages/spread/src/_lib/wire.ts
@@ -1,67 +1,67 @@
-/** Datagrams of the exchange: arrays in JSON, the kind first; a digest has its way on a line of its own before it. */
+/** Datagram format of the gossip: JSON arrays that begin with the kind; a digest has a header on a separate line before its body. */
 import type * as store from '@switchridge/store'
 import * as types from '@switchridge/types'
 import type * as heartbeats from './heartbeat.js'
 
-/** Who shall hear of something at once, or of a digest. */
+/** Members of a hall that a digest, or an urgent change, is forwarded to. */
 export type Audience = 'nobody' | 'gateways' | 'all'
 
-/** What a heartbeat asks of its receiver beyond taking it in: to tell others of it at once, or to answer with its own. */
+/** What a heartbeat requests of its receiver: to announce the sender to other halls at once, or, with `sender`, to answer with its own heartbeat. */
 export type Urgency = Audience | 'sender'
 
-/** A member as a digest tells it. */
+/** A member as described in a digest. */
 export interface DigestMember {
   readonly heartbeat: heartbeats.Heartbeat
-  /** Milliseconds since it said so, as the relay measured. */
+  /** Milliseconds since the relay received this state. */
   readonly ageMs: number
-  /** How much longer than the fastest one its heartbeat was under way to the relay. */
+  /** Transit time of its heartbeat to the relay, beyond that of the fastest one. */
   readonly delayMs: number
 }
 
-/** What a relay tells its own hall of a member that the hall knows. */
-export interface ToldMember {
+/** Update that a relay sends to its own hall about a member that the hall knows. */
+export interface MemberUpdate {
   readonly host: string
   readonly ageMs: number
   readonly delayMs: number
-  /** What an agent says of its engine; null when only its life is told. */
+  /** The engine report of an agent; null if the update is only a keepalive. */
   readonly engine: unknown
 }
 
-/** The furthest copy of a hall by kind, with the host of a member that holds it. */
+/** The most recent copy in a hall by kind, with the host of a member that holds it. */
 export type HallCopies = Readonly<Record<string, { readonly state: store.CopyState, readonly host: string }>>
 
-/** What a relay tells of its hall; one of several datagrams. */
+/** State of a hall as one of its relays sends it, or a part of it that fits into a datagram. */
 export interface Digest {
   readonly zone: string
   readonly copies: HallCopies
-  readonly versions: readonly heartbeats.VersionTold[]
+  readonly versions: readonly heartbeats.RecentVersion[]
   readonly members: readonly DigestMember[]
-  /** To the own hall only. */
-  readonly told: readonly ToldMember[]
+  /** Only in digests to the own hall. */
+  readonly updates: readonly MemberUpdate[]
 }
 
-/** What is told to other halls, or of changes. */
-export type News = Omit<Digest, 'told'>
+/** A digest to other halls, or one about a change. */
+export type HallDigest = Omit<Digest, 'updates'>
 
-/** On which way a digest is. */
-export interface DigestWay {
+/** Header of a digest, which controls how it is forwarded. */
+export interface DigestHeader {
   readonly sentAt: number
-  /** Delay of the hops before, in milliseconds beyond the usual. */
+  /** Delay on the previous hops beyond the fastest transit, in milliseconds. */
   readonly delayMs: number
   readonly audience: Audience
-  /** The receiver passes it on to members of its hall from the first to the last host, in the circle of sorted hosts; null: to all. */
+  /** Range of the sorted hosts, possibly wrapping around their end, within which the receiver forwards the digest; null: the whole hall. */
   readonly range: readonly [string, string] | null
-  /** The member that it came to first; it is in no range. */
-  readonly first: string
+  /** The member that received the digest first; it is skipped in all ranges. */
+  readonly ingressHost: string
 }
 
-/** A datagram. */
+/** A datagram: a heartbeat, an engine report (`news`), a keepalive (`sign`), hosts to contact, or a digest. */
 export type Message =
   | { readonly type: 'heartbeat', readonly sentAt: number, readonly heartbeat: heartbeats.Heartbeat, readonly viewHash: number, readonly urgency: Urgency }
   | { readonly type: 'news', readonly sentAt: number, readonly engine: unknown }
   | { readonly type: 'sign', readonly isRound: boolean }
   | { readonly type: 'hosts', readonly hosts: readonly string[] }
-  | { readonly type: 'digest', readonly way: DigestWay, readonly digest: Digest, readonly body: string }
+  | { readonly type: 'digest', readonly header: DigestHeader, readonly digest: Digest, readonly body: string }
 
 /** Why a datagram was dropped. */
 export type DropReason = 'not-json' | 'unknown-kind' | 'bad-shape' | 'unknown-sender'
@@ -69,25 +69,25 @@
 /** A decoded datagram, or why there is none. */
 export type Decoded = { readonly ok: true, readonly message: Message } | { readonly ok: false, readonly reason: DropReason }
 
-/** Longest payload that a router on the way leaves in one piece. */
+/** Longest payload that routers do not fragment. */
 export const DATAGRAM_BYTES = 1200
-/** The part of a digest's datagram that is left to its way: three hosts and three numbers. */
-const WAY_BYTES = 120
+/** Bytes of a digest's datagram reserved for its header: three hosts and three numbers. */
+const HEADER_BYTES = 120
 const AUDIENCES: readonly Audience[] = ['nobody', 'gateways', 'all']
 const URGENCIES: readonly Urgency[] = [...AUDIENCES, 'sender']
-const AGENT = 1
-const LEAVING = 2
-const STORE_LOST = 4
-const ALL_FLAGS = AGENT | LEAVING | STORE_LOST
-const FRACTION = 10
+const AGENT_FLAG = 1
+const LEAVING_FLAG = 2
+const STORE_LOST_FLAG = 4
+const ALL_FLAGS = AGENT_FLAG | LEAVING_FLAG | STORE_LOST_FLAG
+const TENTHS = 10
 
-/** A tenth of a millisecond is enough, and shorter. */
-function shorten (milliseconds: number): number {
-  return Math.round(milliseconds * FRACTION) / FRACTION
+/** Rounds to tenths, which are precise enough and keep the datagram short. */
+function roundToTenth (milliseconds: number): number {
+  return Math.round(milliseconds * TENTHS) / TENTHS
 }
 
 function formatFlags ({ role, isLeaving, isStoreLost }: heartbeats.Heartbeat): number {
-  return (role === 'agent' ? AGENT : 0) | (isLeaving ? LEAVING : 0) | (isStoreLost ? STORE_LOST : 0)
+  return (role === 'agent' ? AGENT_FLAG : 0) | (isLeaving ? LEAVING_FLAG : 0) | (isStoreLost ? STORE_LOST_FLAG : 0)
 }
 
 function formatState ({ at, digest }: store.CopyState): unknown[] {
@@ -98,41 +98,41 @@
   return Object.fromEntries(Object.entries(copies).map(([kind, state]) => [kind, formatState(state)]))
 }
 
-/** Versions of one model that follow each other stand after its name. */
-function formatVersions (versions: readonly heartbeats.VersionTold[]): unknown[] {
+/** Formats consecutive versions of one model as a single list after its name. */
+function formatVersions (versions: readonly heartbeats.RecentVersion[]): unknown[] {
   const lists: unknown[][] = []
   for (const { model, version, ageMs } of versions) {
     const last = lists.at(-1)
-    if (last?.[0] === model) last.push(version, shorten(ageMs))
-    else lists.push([model, version, shorten(ageMs)])
+    if (last?.[0] === model) last.push(version, roundToTenth(ageMs))
+    else lists.push([model, version, roundToTenth(ageMs)])
   }
   return lists
 }
 
-/** Formats a whole heartbeat. */
+/** Formats a heartbeat. */
 export function formatHeartbeat (sentAt: number, heartbeat: heartbeats.Heartbeat, viewHash: number, urgency: Urgency): string {
   const { node, zone, host, copies, versions, suspects, engine } = heartbeat
-  return JSON.stringify(['h', shorten(sentAt), formatFlags(heartbeat), node, zone, host, viewHash, URGENCIES.indexOf(urgency), formatCopies(copies), formatVersions(versions), suspects, engine])
+  return JSON.stringify(['h', roundToTenth(sentAt), formatFlags(heartbeat), node, zone, host, viewHash, URGENCIES.indexOf(urgency), formatCopies(copies), formatVersions(versions), suspects, engine])
 }
 
-/** Formats news of the own engine, for those that know the sender. */
-export function formatNews (sentAt: number, engine: unknown): string {
-  return JSON.stringify(['n', shorten(sentAt), engine])
+/** Formats a report of the own engine, for receivers that know the sender. */
+export function formatEngineReport (sentAt: number, engine: unknown): string {
+  return JSON.stringify(['n', roundToTenth(sentAt), engine])
 }
 
-/** Formats a sign of life; `isRound` tells that the sender, a relay, has just begun to send its digest. */
-export function formatSign (isRound: boolean): string {
+/** Formats a keepalive; `isRound` tells that the sender, a relay, has just begun a digest round. */
+export function formatKeepalive (isRound: boolean): string {
   return JSON.stringify(['r', isRound ? 1 : 0])
 }
 
-/** Formats hosts to ask, cut into datagrams. */
+/** Formats hosts to contact, split into datagrams. */
 export function formatHosts (hosts: readonly string[]): string[] {
-  return cut(hosts.map((host) => JSON.stringify(host)), '["a",['.length + ']]'.length, 0).map((part) => `["a",[${part.join()}]]`)
+  return splitBySize(hosts.map((host) => JSON.stringify(host)), '["a",['.length + ']]'.length, 0).map((part) => `["a",[${part.join()}]]`)
 }
 
-/** Formats a digest's way and its body as one datagram. */
-export function formatDigest (way: DigestWay, body: string): string {
-  return `${JSON.stringify(['d', shorten(way.sentAt), shorten(way.delayMs), AUDIENCES.indexOf(way.audience), ...(way.range === null ? [] : [...way.range, way.first])])}\n${body}`
+/** Formats the header and the body of a digest as one datagram. */
+export function formatDigest (header: DigestHeader, body: string): string {
+  return `${JSON.stringify(['d', roundToTenth(header.sentAt), roundToTenth(header.delayMs), AUDIENCES.indexOf(header.audience), ...(header.range === null ? [] : [...header.range, header.ingressHost])])}\n${body}`
 }
 
 function formatMember ({ heartbeat, ageMs, delayMs }: DigestMember): string {
@@ -140,33 +140,33 @@
   return JSON.stringify([node, host, formatFlags(heartbeat), Math.round(ageMs), Math.round(delayMs), suspects.length === 0 ? 0 : suspects, engine])
 }
 
-function formatTold ({ host, ageMs, delayMs, engine }: ToldMember): string {
+function formatUpdate ({ host, ageMs, delayMs, engine }: MemberUpdate): string {
   return JSON.stringify([host, Math.round(ageMs), Math.round(delayMs), ...(engine === null ? [] : [engine])])
 }
 
-/** Formats what a relay tells its own hall, as bodies of datagrams that stand alone. */
-export function formatRound (zone: string, told: readonly ToldMember[]): string[] {
+/** Formats updates to the own hall as digest bodies, each of which is complete by itself. */
+export function formatUpdates (zone: string, updates: readonly MemberUpdate[]): string[] {
   const head = JSON.stringify([zone, {}, [], []]).slice(0, -1)
-  return cut(told.map(formatTold), WAY_BYTES + head.length + ',[]]'.length, 0).map((part) => `${head},[${part.join()}]]`)
+  return splitBySize(updates.map(formatUpdate), HEADER_BYTES + head.length + ',[]]'.length, 0).map((part) => `${head},[${part.join()}]]`)
 }
 
-/** Formats a digest as bodies of datagrams that stand alone; what holds for the whole hall is in the first one. */
-export function formatBodies (digest: News): string[] {
+/** Formats a digest as bodies, each of which is complete by itself; the copies and versions of the hall are in the first one. */
+export function formatDigestBodies (digest: HallDigest): string[] {
   const hall = JSON.stringify([digest.zone, Object.fromEntries(Object.entries(digest.copies).map(([kind, { state, host }]) => [kind, [formatState(state), host]])), formatVersions(digest.versions)])
   const short = JSON.stringify([digest.zone, {}, []])
-  const parts = cut(digest.members.map(formatMember), WAY_BYTES + short.length + 2, Buffer.byteLength(hall) - short.length)
+  const parts = splitBySize(digest.members.map(formatMember), HEADER_BYTES + short.length + 2, Buffer.byteLength(hall) - short.length)
   return parts.map((part, at) => `${(at === 0 ? hall : short).slice(0, -1)},[${part.join()}]]`)
 }
 
-/** Cuts a list into parts that fit; `firstBytes` more are taken in the first one. At least one part. */
-export function cut (items: readonly string[], partBytes: number, firstBytes: number): string[][] {
+/** Splits a list into one or more parts that fit into datagrams with `overheadBytes` each, and `firstBytes` more in the first one. */
+export function splitBySize (items: readonly string[], overheadBytes: number, firstBytes: number): string[][] {
   const parts: string[][] = [[]]
-  let size = partBytes + firstBytes
+  let size = overheadBytes + firstBytes
   for (const item of items) {
     const bytes = Buffer.byteLength(item) + 1
     if (size + bytes > DATAGRAM_BYTES && (parts.at(-1)?.length ?? 0) > 0) {
       parts.push([])
-      size = partBytes
+      size = overheadBytes
     }
     parts.at(-1)?.push(item)
     size += bytes
@@ -174,136 +174,136 @@
   return parts
 }
 
-/** Thrown within this module alone, to leave a nested list. */
+/** Thrown and caught within this module, to abort the parsing of a datagram. */
 class ShapeError extends Error {}
 
-function take<Value> (value: unknown, isFit: (value: unknown) => value is Value): Value {
-  if (!isFit(value)) throw new ShapeError()
+function requireShape<Value> (value: unknown, isValid: (value: unknown) => value is Value): Value {
+  if (!isValid(value)) throw new ShapeError()
   return value
 }
 
-const isText = (value: unknown): value is string => typeof value === 'string'
+const isString = (value: unknown): value is string => typeof value === 'string'
 const isNumber = (value: unknown): value is number => typeof value === 'number' && Number.isFinite(value)
-/** Whether a value is a span of time. */
-export const isAge = (value: unknown): value is number => isNumber(value) && value >= 0
-const isFlags = (value: unknown): value is number => isAge(value) && (value & ~ALL_FLAGS) === 0 && Number.isInteger(value)
-const isList = (value: unknown): value is unknown[] => Array.isArray(value)
-const isTexts = (value: unknown): value is string[] => isList(value) && value.every(isText)
+/** Tells whether a value is a duration in milliseconds. */
+export const isDuration = (value: unknown): value is number => isNumber(value) && value >= 0
+const isFlags = (value: unknown): value is number => isDuration(value) && (value & ~ALL_FLAGS) === 0 && Number.isInteger(value)
+const isArray = (value: unknown): value is unknown[] => Array.isArray(value)
+const isStringList = (value: unknown): value is string[] => isArray(value) && value.every(isString)
 const isRecord = (value: unknown): value is Record<string, unknown> => typeof value === 'object' && value !== null && !Array.isArray(value)
 
 function parseState (value: unknown): store.CopyState {
-  const [at, digest] = take(value, isList)
-  return { at: take(at, isNumber), digest: take(digest, isText) }
+  const [at, digest] = requireShape(value, isArray)
+  return { at: requireShape(at, isNumber), digest: requireShape(digest, isString) }
 }
 
 function parseCopies (value: unknown): heartbeats.CopyStates {
-  return Object.fromEntries(Object.entries(take(value, isRecord)).map(([kind, state]) => [kind, parseState(state)]))
+  return Object.fromEntries(Object.entries(requireShape(value, isRecord)).map(([kind, state]) => [kind, parseState(state)]))
 }
 
-function parseVersions (value: unknown): heartbeats.VersionTold[] {
-  return take(value, isList).flatMap((each) => {
-    const [model, ...told] = take(each, isList)
-    return parseVersionsOf(take(model, isText), told)
+function parseVersions (value: unknown): heartbeats.RecentVersion[] {
+  return requireShape(value, isArray).flatMap((each) => {
+    const [model, ...pairs] = requireShape(each, isArray)
+    return parseModelVersions(requireShape(model, isString), pairs)
   })
 }
 
-function parseVersionsOf (model: string, told: readonly unknown[]): heartbeats.VersionTold[] {
-  const versions: heartbeats.VersionTold[] = []
-  for (let at = 0; at < told.length; at += 2) versions.push({ model, version: take(told[at], isNumber), ageMs: take(told[at + 1], isAge) })
+function parseModelVersions (model: string, pairs: readonly unknown[]): heartbeats.RecentVersion[] {
+  const versions: heartbeats.RecentVersion[] = []
+  for (let at = 0; at < pairs.length; at += 2) versions.push({ model, version: requireShape(pairs[at], isNumber), ageMs: requireShape(pairs[at + 1], isDuration) })
   return versions
 }
 
-function parseOneOf<Word> (words: readonly Word[], value: unknown): Word {
-  const word = words[take(value, isNumber)]
-  if (word === undefined) throw new ShapeError()
-  return word
+function parseOneOf<Value> (choices: readonly Value[], index: unknown): Value {
+  const choice = choices[requireShape(index, isNumber)]
+  if (choice === undefined) throw new ShapeError()
+  return choice
 }
 
 function parseFlags (value: unknown): Pick<heartbeats.Heartbeat, 'role' | 'isLeaving' | 'isStoreLost'> {
-  const flags = take(value, isFlags)
-  return { role: (flags & AGENT) > 0 ? 'agent' : 'gateway', isLeaving: (flags & LEAVING) > 0, isStoreLost: (flags & STORE_LOST) > 0 }
+  const flags = requireShape(value, isFlags)
+  return { role: (flags & AGENT_FLAG) > 0 ? 'agent' : 'gateway', isLeaving: (flags & LEAVING_FLAG) > 0, isStoreLost: (flags & STORE_LOST_FLAG) > 0 }
 }
 
 function parseHeartbeat ([, sentAt, flags, node, zone, host, viewHash, urgency, copies, versions, suspects, engine]: readonly unknown[]): Message {
   return {
     type: 'heartbeat',
-    sentAt: take(sentAt, isNumber),
-    viewHash: take(viewHash, isNumber),
+    sentAt: requireShape(sentAt, isNumber),
+    viewHash: requireShape(viewHash, isNumber),
     urgency: parseOneOf(URGENCIES, urgency),
     heartbeat: {
       ...parseFlags(flags),
-      node: types.brandId<types.NodeId>(take(node, isText)),
-      zone: take(zone, isText),
-      host: take(host, isText),
+      node: types.brandId<types.NodeId>(requireShape(node, isString)),
+      zone: requireShape(zone, isString),
+      host: requireShape(host, isString),
       copies: parseCopies(copies),
       versions: parseVersions(versions),
-      suspects: take(suspects, isTexts),
+      suspects: requireShape(suspects, isStringList),
       engine: engine ?? null
     }
   }
 }
 
 function parseMember (value: unknown, zone: string): DigestMember {
-  const [node, host, flags, ageMs, delayMs, suspects, engine] = take(value, isList)
+  const [node, host, flags, ageMs, delayMs, suspects, engine] = requireShape(value, isArray)
   return {
-    ageMs: take(ageMs, isAge),
-    delayMs: take(delayMs, isAge),
+    ageMs: requireShape(ageMs, isDuration),
+    delayMs: requireShape(delayMs, isDuration),
     heartbeat: {
       ...parseFlags(flags),
-      node: types.brandId<types.NodeId>(take(node, isText)),
+      node: types.brandId<types.NodeId>(requireShape(node, isString)),
       zone,
-      host: take(host, isText),
+      host: requireShape(host, isString),
       copies: {},
       versions: [],
-      suspects: suspects === 0 ? [] : take(suspects, isTexts),
+      suspects: suspects === 0 ? [] : requireShape(suspects, isStringList),
       engine: engine ?? null
     }
   }
 }
 
-function parseTold (value: unknown): ToldMember {
-  const [host, ageMs, delayMs, engine] = take(value, isList)
-  return { host: take(host, isText), ageMs: take(ageMs, isAge), delayMs: take(delayMs, isAge), engine: engine ?? null }
+function parseUpdate (value: unknown): MemberUpdate {
+  const [host, ageMs, delayMs, engine] = requireShape(value, isArray)
+  return { host: requireShape(host, isString), ageMs: requireShape(ageMs, isDuration), delayMs: requireShape(delayMs, isDuration), engine: engine ?? null }
 }
 
 function parseHallCopies (value: unknown): HallCopies {
-  return Object.fromEntries(Object.entries(take(value, isRecord)).map(([kind, told]) => {
-    const [state, host] = take(told, isList)
-    return [kind, { state: parseState(state), host: take(host, isText) }]
+  return Object.fromEntries(Object.entries(requireShape(value, isRecord)).map(([kind, copy]) => {
+    const [state, host] = requireShape(copy, isArray)
+    return [kind, { state: parseState(state), host: requireShape(host, isString) }]
   }))
 }
 
-function parseDigest ([, sentAt, delayMs, audience, begin, end, first]: readonly unknown[], body: string): Message {
-  const [zone, copies, versions, members, told] = take(JSON.parse(body), isList)
-  const name = take(zone, isText)
+function parseDigest ([, sentAt, delayMs, audience, firstHost, lastHost, ingressHost]: readonly unknown[], body: string): Message {
+  const [zone, copies, versions, members, updates] = requireShape(JSON.parse(body), isArray)
+  const name = requireShape(zone, isString)
   return {
     type: 'digest',
     body,
-    way: {
-      sentAt: take(sentAt, isNumber),
-      delayMs: take(delayMs, isAge),
+    header: {
+      sentAt: requireShape(sentAt, isNumber),
+      delayMs: requireShape(delayMs, isDuration),
       audience: parseOneOf(AUDIENCES, audience),
-      range: begin === undefined ? null : [take(begin, isText), take(end, isText)],
-      first: begin === undefined ? '' : take(first, isText)
+      range: firstHost === undefined ? null : [requireShape(firstHost, isString), requireShape(lastHost, isString)],
+      ingressHost: firstHost === undefined ? '' : requireShape(ingressHost, isString)
     },
     digest: {
       zone: name,
       copies: parseHallCopies(copies),
       versions: parseVersions(versions),
-      members: take(members, isList).map((member) => parseMember(member, name)),
-      told: take(told ?? [], isList).map(parseTold)
+      members: requireShape(members, isArray).map((member) => parseMember(member, name)),
+      updates: requireShape(updates ?? [], isArray).map(parseUpdate)
     }
   }
 }
 
 function parse (text: string): Message | null {
   const end = text.indexOf('\n')
-  const head = take(JSON.parse(end < 0 ? text : text.slice(0, end)), isList)
+  const head = requireShape(JSON.parse(end < 0 ? text : text.slice(0, end)), isArray)
   switch (head[0]) {
     case 'h': return parseHeartbeat(head)
-    case 'n': return { type: 'news', sentAt: take(head[1], isNumber), engine: head[2] ?? null }
-    case 'r': return { type: 'sign', isRound: take(head[1], isNumber) === 1 }
-    case 'a': return { type: 'hosts', hosts: take(head[1], isTexts) }
+    case 'n': return { type: 'news', sentAt: requireShape(head[1], isNumber), engine: head[2] ?? null }
+    case 'r': return { type: 'sign', isRound: requireShape(head[1], isNumber) === 1 }
+    case 'a': return { type: 'hosts', hosts: requireShape(head[1], isStringList) }
     case 'd': return parseDigest(head, text.slice(end + 1))
     default: return null
   }
@@ -313,7 +313,7 @@
  * Decodes a datagram.
  *
  * @param bytes - The datagram.
- * @returns The message, or the reason for which it is dropped.
+ * @returns The message, or the reason for dropping the datagram.
  */
 export function decode (bytes: Buffer): Decoded {
   try {
--- a/packages/spread/src/chooseWatchers/test.ts
+++ b/packages/spread/src/chooseWatchers/test.ts
@@ -11,19 +11,19 @@
   return members.map(({ node }) => node)
 }
 
-nodeTest.test('in a small hall all gateways ask the store', () => {
+nodeTest.test('in a small hall all gateways watch the store', () => {
   assert.equal(chooseWatchers.chooseWatchers(makeGateways(3), 'hall-a').length, 3)
   assert.equal(chooseWatchers.chooseWatchers(makeGateways(3, { isStoreLost: true }), 'hall-a').length, 3)
 })
 
-nodeTest.test('in a large hall two ask it, the same ones in whatever order they are heard of', () => {
+nodeTest.test('in a large hall two gateways watch the store, the same ones whatever order they are listed in', () => {
   const gateways = makeGateways(13)
   const chosen = nodes(chooseWatchers.chooseWatchers(gateways, 'hall-a'))
   assert.equal(chosen.length, chooseWatchers.WATCHERS_PER_HALL)
   assert.deepEqual(nodes(chooseWatchers.chooseWatchers([...gateways].reverse(), 'hall-a')), chosen)
 })
 
-nodeTest.test('beside other halls one of each hall asks it, also of a small one, and the next one takes its place', () => {
+nodeTest.test('beside other halls one gateway of each hall watches the store, also in a small hall, and the next one replaces it', () => {
   for (const count of [2, 3, 13]) {
     const gateways = makeGateways(count)
     const [first, second] = chooseWatchers.chooseWatchers(gateways, 'hall-a')
@@ -34,7 +34,7 @@
   assert.equal(chooseWatchers.chooseWatchers(makeGateways(3, { isStoreLost: true }), 'hall-a', false).length, 3)
 })
 
-nodeTest.test('one that leaves or has lost the store is replaced, and the other one stays', () => {
+nodeTest.test('a watcher that leaves or has lost the store is replaced, and the other one stays', () => {
   const gateways = makeGateways(13)
   const [first, second] = chooseWatchers.chooseWatchers(gateways, 'hall-a')
   for (const change of [{ isLeaving: true }, { isStoreLost: true }]) {
@@ -46,11 +46,11 @@
   }
 })
 
-nodeTest.test('when the store answers none of a hall, all try', () => {
+nodeTest.test('all gateways watch if the store answers none of a hall', () => {
   assert.equal(chooseWatchers.chooseWatchers(makeGateways(13, { isStoreLost: true }), 'hall-a').length, 13)
 })
 
-nodeTest.test('agents and gateways of other halls do not count', () => {
+nodeTest.test('agents and gateways of other halls are not chosen', () => {
   const others = [...makeGateways(5, { zone: 'hall-b' }), ...makeGateways(5, { role: 'agent' })]
   assert.deepEqual(chooseWatchers.chooseWatchers(others, 'hall-a'), [])
 })
--- a/packages/spread/src/createCopySync/index.ts
+++ b/packages/spread/src/createCopySync/index.ts
@@ -1,26 +1,26 @@
-/** Brings this daemon's copies of the store up to date by what peers have, those of the own hall first. */
+/** Updates this daemon's copies of the store from peers, preferably those of the own hall. */
 import * as types from '@switchridge/types'
 import type * as store from '@switchridge/store'
 import * as createGossip from '../createGossip/index.js'
 
-/** A request for what changed in a copy. */
+/** A request for the changes of a copy. */
 export interface CopyRequest {
   readonly kind: string
-  /** Changes after this revision are wanted; 0 for a whole copy. */
+  /** Revision after which changes are requested; 0 for a full copy. */
   readonly since: number
 }
 
-/** What a peer answered. */
+/** The answer of a peer. */
 export interface FetchedCopy {
   readonly changes: store.CopyChanges
-  /** Bytes that crossed the network. */
+  /** Bytes transferred over the network. */
   readonly bytes: number
 }
 
-/** A peer sent what is no copy, or not the one that was asked for. */
+/** The answer of a peer is no valid copy, or not of the requested kind. */
 export class InvalidCopyError extends types.SwitchridgeError {}
 
-/** A copy that was taken over. */
+/** A copy that was adopted from a peer. */
 export interface AdoptedCopy extends FetchedCopy {
   readonly host: string
   readonly isOwnHall: boolean
@@ -31,19 +31,19 @@
   readonly mirrors: readonly store.Mirror[]
   /** The hall of this daemon. */
   readonly zone: string
-  /** Whether a peer has a copy of the kind that is whole enough for this daemon. */
+  /** Tells whether a peer has a copy of the kind that is complete enough for this daemon. */
   readonly canServe: (peer: createGossip.Heartbeat, kind: string) => boolean
-  /** Whether this daemon's own watch of the kind works, so that it may be waited for. */
+  /** Tells whether this daemon's own watch of the kind works, so that its events are worth waiting for. */
   readonly isWatching: (kind: string) => boolean
-  /** Milliseconds that peers of the own hall are waited for before another hall is asked. */
+  /** Milliseconds to wait for peers of the own hall before another hall is asked. */
   readonly farGraceMs: () => number
-  /** `signal` ends a request whose answer is not needed any more. */
+  /** Requests changes from a peer; `signal` aborts a request whose answer is no longer needed. */
   readonly fetchChanges: (host: string, request: CopyRequest, signal: AbortSignal) => Promise<types.Outcome<FetchedCopy, types.UnavailableError | InvalidCopyError>>
   readonly onAsked: (kind: string, isOwnHall: boolean) => void
   readonly onAdopted: (kind: string, adopted: AdoptedCopy) => void
-  /** A peer's state showed that nothing needs to be copied. */
+  /** Called when the state of a peer confirms the own copy, so that nothing needs to be copied. */
   readonly onConfirmed: (kind: string, isOwnHall: boolean) => void
-  /** A request came to nothing; `isInvalid` when the peer answered what can't be taken. */
+  /** Called when a request fails; `isInvalid` if the answer of the peer cannot be applied. */
   readonly onFailed: (kind: string, host: string, reason: string, isInvalid: boolean) => void
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
@@ -51,14 +51,14 @@
   readonly random: () => number
 }
 
-/** Follows the states that peers tell of. */
+/** Synchronizes copies with the states that peers announce. */
 export interface CopySync {
-  /** Notes how far a peer's copies are. */
+  /** Records the states of a peer's copies, and requests changes where one is newer. */
   readonly noteHeartbeat: (heartbeat: createGossip.Heartbeat) => void
   readonly stop: () => void
 }
 
-/** A peer's copy as it last told of it. */
+/** The copy of a peer as last announced. */
 interface Offer {
   readonly host: string
   readonly isOwnHall: boolean
@@ -66,62 +66,62 @@
   readonly heardAt: number
 }
 
-/** A daemon whose own watch works waits so long for it before it asks a peer; answers of the store arrive within it unless a link is full. */
+/** Time that a daemon whose own watch works waits for it before it asks a peer; events of the store arrive within it unless a link is full. */
 const WATCH_GRACE_MS = 150
-/** While only other halls have what is wanted, the own hall is looked at so often; short against the waits for a hall. */
+/** Time between two checks for a peer to ask while none may be asked, as when only other halls have a newer copy; short compared with the wait for the own hall. */
 const HALL_POLL_MS = 50
-/** Most answers are whole within it; after it another peer is asked beside the one that is late, whose link may be full. */
+/** Time within which most answers are complete; after it another peer is asked too, since the link of the late one may be full. */
 const LATE_ANSWER_MS = 500
-/** One that is late and one beside it: more would fill the link of this daemon. */
-const MAXIMUM_ASKED = 2
+/** Concurrent requests: a late one and another one; more would fill the link of this daemon. */
+const MAXIMUM_REQUESTS = 2
 const RETRY_MINIMUM_MS = 100
 const RETRY_MAXIMUM_MS = 1000
-/** A pause is between this part and the whole, so that peers that failed together don't ask together. */
-const RETRY_MINIMUM_PART = 0.5
+/** A retry delay is randomized between this fraction and the whole, so that daemons whose requests failed together do not retry together. */
+const RETRY_MINIMUM_FRACTION = 0.5
 
 /**
  * Creates the sync.
  *
- * @param options - Mirrors and how peers are asked.
+ * @param options - Mirrors, and the functions that ask peers.
  * @returns The sync.
  */
 export function createCopySync (options: CopySyncOptions): CopySync {
   let isStopped = false
-  const followers = options.mirrors.map((mirror) => createFollower(mirror, options, () => isStopped))
+  const kindSyncs = options.mirrors.map((mirror) => createKindSync(mirror, options, () => isStopped))
   return {
-    noteHeartbeat: (heartbeat) => { for (const follower of followers) follower.note(heartbeat) },
+    noteHeartbeat: (heartbeat) => { for (const kindSync of kindSyncs) kindSync.noteHeartbeat(heartbeat) },
     stop: () => { isStopped = true }
   }
 }
 
-interface Follower {
-  readonly note: (heartbeat: createGossip.Heartbeat) => void
+interface KindSync {
+  readonly noteHeartbeat: (heartbeat: createGossip.Heartbeat) => void
 }
 
-/** Follows the copies of one kind; a second request is under way only while the first one is late. */
-function createFollower (mirror: store.Mirror, options: CopySyncOptions, isStopped: () => boolean): Follower {
+/** Synchronizes the copy of one kind; a second request is sent only while the first one is late. */
+function createKindSync (mirror: store.Mirror, options: CopySyncOptions, isStopped: () => boolean): KindSync {
   const { kind } = mirror
   const offers = new Map<string, Offer>()
-  /** Hosts that failed since the last success; they are asked again after all others. */
+  /** Hosts that failed since the last success; they are asked again only after all others. */
   const failed = new Set<string>()
-  /** Requests that are under way, by host. */
-  const asking = new Map<string, AbortController>()
+  /** Pending requests, by host. */
+  const pending = new Map<string, AbortController>()
   let failures = 0
-  let isFollowing = false
-  /** Time from which the next peer may be asked, and one of another hall. */
-  let askFrom = 0
-  let farFrom = 0
-  let wake = (): void => {}
-  let isWholeWanted = false
-
-  function note (heartbeat: createGossip.Heartbeat): void {
+  let isSyncing = false
+  /** Times from which the next peer may be asked, and one of another hall. */
+  let nextRequestAt = 0
+  let otherHallsAt = 0
+  let endWait = (): void => {}
+  let needsFullCopy = false
+
+  function noteHeartbeat (heartbeat: createGossip.Heartbeat): void {
     const state = heartbeat.copies[kind]
     if (state === undefined || !options.canServe(heartbeat, kind)) return
     const { host } = heartbeat
     const isOwnHall = heartbeat.zone === options.zone
     offers.set(host, { host, isOwnHall, state, heardAt: options.now() })
     if (mirror.confirm(state)) options.onConfirmed(kind, isOwnHall)
-    if (!isFollowing && isWanted(state)) void follow()
+    if (!isSyncing && isWanted(state)) void synchronize()
   }
 
   function isWanted (state: store.CopyState): boolean {
@@ -130,73 +130,73 @@
   }
 
   /**
-   * Peers that have what this daemon does not; those that are behind are forgotten, and those that were silent for longer than
-   * any fleet's heartbeats are apart. One that is gone fails its request and is asked after all others.
+   * Lists the peers that have a newer copy. Removes those whose copies are not newer, and those that were silent for longer than the heartbeat
+   * interval of any fleet. A peer that is gone sooner fails its request, and is asked only after all others.
    */
   function listOffers (): Offer[] {
     for (const offer of offers.values()) {
-      const isSilent = options.now() - offer.heardAt > createGossip.PEER_FORGET_MS
+      const isSilent = options.now() - offer.heardAt > createGossip.PEER_EXPIRY_MS
       if (isSilent || !isWanted(offer.state)) offers.delete(offer.host)
     }
     return [...offers.values()]
   }
 
-  /** Any of the own hall that has not failed; later any at all, those that have not failed first. */
-  function choose (wanted: readonly Offer[], isFarAllowed: boolean): Offer | undefined {
-    const near = wanted.filter(({ isOwnHall }) => isOwnHall)
-    const freshNear = near.filter(({ host }) => !failed.has(host))
-    if (freshNear.length > 0) return pick(freshNear)
-    if (!isFarAllowed) return pick(near)
-    const fresh = wanted.filter(({ host }) => !failed.has(host))
-    return pick(fresh.length === 0 ? wanted : fresh)
+  /** Picks a peer of the own hall that has not failed; once other halls are allowed, any peer, preferably one that has not failed. */
+  function choosePeer (wanted: readonly Offer[], areOtherHallsAllowed: boolean): Offer | undefined {
+    const ownHall = wanted.filter(({ isOwnHall }) => isOwnHall)
+    const notFailedOwnHall = ownHall.filter(({ host }) => !failed.has(host))
+    if (notFailedOwnHall.length > 0) return pickRandom(notFailedOwnHall)
+    if (!areOtherHallsAllowed) return pickRandom(ownHall)
+    const notFailed = wanted.filter(({ host }) => !failed.has(host))
+    return pickRandom(notFailed.length === 0 ? wanted : notFailed)
   }
 
-  function pick (from: readonly Offer[]): Offer | undefined {
+  function pickRandom (from: readonly Offer[]): Offer | undefined {
     return from[Math.floor(options.random() * from.length)]
   }
 
-  async function follow (): Promise<void> {
-    isFollowing = true
+  async function synchronize (): Promise<void> {
+    isSyncing = true
     if (mirror.isKnown() && options.isWatching(kind)) await types.delay(WATCH_GRACE_MS)
-    askFrom = options.now()
-    farFrom = options.now() + options.farGraceMs()
-    for (let wanted = listOffers(); wanted.length > 0 && !isStopped(); wanted = listOffers()) await pause(askNext(wanted))
-    endRequests()
-    isFollowing = false
+    nextRequestAt = options.now()
+    otherHallsAt = options.now() + options.farGraceMs()
+    for (let wanted = listOffers(); wanted.length > 0 && !isStopped(); wanted = listOffers()) await waitForAnswer(requestNext(wanted))
+    abortRequests()
+    isSyncing = false
   }
 
-  /** Waits until a request has ended, but no longer than so many milliseconds. */
-  async function pause (milliseconds: number): Promise<void> {
+  /** Waits until a request ends, but no longer than the given time. */
+  async function waitForAnswer (milliseconds: number): Promise<void> {
     await new Promise<void>((resolve) => {
       const timer = setTimeout(resolve, milliseconds)
-      wake = () => {
+      endWait = () => {
         clearTimeout(timer)
         resolve()
       }
     })
   }
 
-  /** Asks one more peer when it is time for it; returns the milliseconds until it may be again. */
-  function askNext (wanted: readonly Offer[]): number {
-    const waitMs = askFrom - options.now()
+  /** Sends a request to another peer if one may be asked now; returns the milliseconds until the next check. */
+  function requestNext (wanted: readonly Offer[]): number {
+    const waitMs = nextRequestAt - options.now()
     if (waitMs > 0) return waitMs
-    const others = wanted.filter(({ host }) => !asking.has(host))
-    const chosen = asking.size < MAXIMUM_ASKED ? choose(others, options.now() >= farFrom) : undefined
+    const others = wanted.filter(({ host }) => !pending.has(host))
+    const chosen = pending.size < MAXIMUM_REQUESTS ? choosePeer(others, options.now() >= otherHallsAt) : undefined
     if (chosen === undefined) return HALL_POLL_MS
-    askFrom = options.now() + LATE_ANSWER_MS
-    void ask(chosen)
+    nextRequestAt = options.now() + LATE_ANSWER_MS
+    void request(chosen)
     return LATE_ANSWER_MS
   }
 
-  /** Requests whose answers are not needed any more. */
-  function endRequests (): void {
-    for (const cutting of asking.values()) cutting.abort()
-    asking.clear()
+  /** Aborts the pending requests, whose answers are no longer needed. */
+  function abortRequests (): void {
+    for (const controller of pending.values()) controller.abort()
+    pending.clear()
   }
 
-  function nextPauseMs (): number {
-    const pauseMs = Math.min(RETRY_MAXIMUM_MS, RETRY_MINIMUM_MS * 2 ** (failures - 1))
-    return types.jitter(pauseMs, RETRY_MINIMUM_PART, options.random())
+  function computeRetryMs (): number {
+    const retryMs = Math.min(RETRY_MAXIMUM_MS, RETRY_MINIMUM_MS * 2 ** (failures - 1))
+    return types.jitter(retryMs, RETRY_MINIMUM_FRACTION, options.random())
   }
 
   function noteFailure (host: string, reason: string, isInvalid: boolean): false {
@@ -206,45 +206,45 @@
     return false
   }
 
-  async function ask (offer: Offer): Promise<void> {
+  async function request (offer: Offer): Promise<void> {
     const { host, isOwnHall } = offer
-    const cutting = new AbortController()
-    asking.set(host, cutting)
-    const since = isWholeWanted ? 0 : mirror.state().at
+    const controller = new AbortController()
+    pending.set(host, controller)
+    const since = needsFullCopy ? 0 : mirror.state().at
     options.onAsked(kind, isOwnHall)
-    const fetched = await options.fetchChanges(host, { kind, since }, cutting.signal)
-    if (cutting.signal.aborted) return
-    asking.delete(host)
-    const isTaken = read(offer, fetched)
-    askFrom = options.now() + (isTaken ? 0 : nextPauseMs())
-    if (isTaken) farFrom = options.now() + options.farGraceMs()
-    wake()
+    const fetched = await options.fetchChanges(host, { kind, since }, controller.signal)
+    if (controller.signal.aborted) return
+    pending.delete(host)
+    const isAccepted = handleAnswer(offer, fetched)
+    nextRequestAt = options.now() + (isAccepted ? 0 : computeRetryMs())
+    if (isAccepted) otherHallsAt = options.now() + options.farGraceMs()
+    endWait()
   }
 
-  function read ({ host, isOwnHall }: Offer, fetched: Awaited<ReturnType<CopySyncOptions['fetchChanges']>>): boolean {
+  function handleAnswer ({ host, isOwnHall }: Offer, fetched: Awaited<ReturnType<CopySyncOptions['fetchChanges']>>): boolean {
     if (!fetched.ok) return noteFailure(host, fetched.error.message, fetched.error instanceof InvalidCopyError)
     const { changes } = fetched.value
     if (changes.kind !== kind) return noteFailure(host, `a copy of ${changes.kind}`, true)
-    return take(mirror.applyChanges(changes), { ...fetched.value, host, isOwnHall })
+    return applyVerdict(mirror.applyChanges(changes), { ...fetched.value, host, isOwnHall })
   }
 
-  function take (verdict: store.ChangesVerdict, adopted: AdoptedCopy): boolean {
+  function applyVerdict (verdict: store.ChangesVerdict, adopted: AdoptedCopy): boolean {
     if (verdict === 'false-digest') return noteFailure(adopted.host, 'objects that do not give their digest', true)
     if (verdict === 'unfit') {
-      isWholeWanted = true
+      needsFullCopy = true
       return noteFailure(adopted.host, 'changes that do not join on to this copy', true)
     }
     failures = 0
     failed.clear()
-    isWholeWanted = false
+    needsFullCopy = false
     if (verdict !== 'applied') {
       offers.delete(adopted.host)
       return true
     }
-    endRequests()
+    abortRequests()
     options.onAdopted(kind, adopted)
     return true
   }
 
-  return { note }
+  return { noteHeartbeat }
 }
--- a/packages/spread/src/createCopySync/test.ts
+++ b/packages/spread/src/createCopySync/test.ts
@@ -14,18 +14,18 @@
   readonly asked: string[]
   readonly confirmed: string[]
   readonly failures: string[]
-  /** Hosts whose request was ended because it is not needed any more. */
+  /** Hosts whose request was ended because its answer was no longer needed. */
   readonly ended: string[]
-  /** Lets a peer say how far its copy is. */
+  /** Delivers a heartbeat with the state of a peer's copy. */
   readonly hear: (host: string, zone: string, peer: store.Mirror, role?: createGossip.Heartbeat['role']) => void
   readonly advance: (milliseconds: number) => Promise<void>
 }
 
 interface HarnessOptions {
   readonly isWatching?: boolean
-  /** What a peer answers instead of its changes. */
+  /** Replaces the answer of a peer. */
   readonly answer?: (host: string, request: createCopySync.CopyRequest, changes: store.CopyChanges) => types.Outcome<store.CopyChanges, types.UnavailableError | createCopySync.InvalidCopyError>
-  /** Milliseconds that an answer takes, or that one of a host does. */
+  /** Milliseconds that an answer takes, for all hosts or by host. */
   readonly answerMs?: number | ((host: string) => number)
   readonly random?: () => number
 }
@@ -92,7 +92,7 @@
   return mirror
 }
 
-nodeTest.test('equal content at a later revision is confirmed, and nobody is asked', async (context) => {
+nodeTest.test('equal content at a later revision is confirmed, and no peer is asked', async (context) => {
   const harness = createHarness(context)
   harness.mirror.applyList({ at: 5, objects: [{ name: 'a', revision: 1, value: null }] })
   harness.hear('near-1', 'hall-a', createListed(90, 'a'))
@@ -102,7 +102,7 @@
   assert.equal(harness.mirror.state().at, 90)
 })
 
-nodeTest.test('a peer of the own hall is asked at once, once, also when another hall spoke first', async (context) => {
+nodeTest.test('a peer of the own hall is asked at once and only once, also if the heartbeat of another hall came first', async (context) => {
   const harness = createHarness(context, { answerMs: 200 })
   harness.hear('far-1', 'hall-b', createListed(9, 'a'))
   await harness.advance(100)
@@ -121,7 +121,7 @@
   assert.deepEqual(harness.asked, ['near-3'])
 })
 
-nodeTest.test('another hall is asked only when nobody of the own hall has it after the grace', async (context) => {
+nodeTest.test('another hall is asked only if no peer of the own hall has the copy after the grace period', async (context) => {
   const harness = createHarness(context)
   harness.hear('far-1', 'hall-b', createListed(9, 'a'))
   await harness.advance(FAR_GRACE_MS - 100)
@@ -130,7 +130,7 @@
   assert.deepEqual(harness.asked, ['far-1'])
 })
 
-nodeTest.test('a daemon whose watch works waits for it', async (context) => {
+nodeTest.test('a daemon whose watch works waits for its events', async (context) => {
   const harness = createHarness(context, { isWatching: true })
   harness.mirror.applyList({ at: 3, objects: [] })
   harness.hear('near-1', 'hall-a', createListed(9, 'a'))
@@ -140,7 +140,7 @@
   assert.deepEqual(harness.asked, [])
 })
 
-nodeTest.test('a peer that fails is followed by another one, and pauses grow', async (context) => {
+nodeTest.test('another peer is asked after one that fails, with growing delays', async (context) => {
   const harness = createHarness(context, { answer: (host, _request, changes) => host === 'near-3' ? types.succeed(changes) : types.fail(new types.UnavailableError('silent')) })
   for (const host of ['near-1', 'near-2', 'near-3']) harness.hear(host, 'hall-a', createListed(9, 'a'))
   await harness.advance(40)
@@ -155,7 +155,7 @@
   assert.equal(harness.mirror.objects().size, 1)
 })
 
-nodeTest.test('changes that do not join on are dropped with their reason, and a whole copy is asked for', async (context) => {
+nodeTest.test('changes that do not join on are dropped with their reason, and a full copy is requested', async (context) => {
   const sinces: number[] = []
   const harness = createHarness(context, {
     answer: (_host, { since }, changes) => {
@@ -171,17 +171,17 @@
   assert.equal(harness.mirror.objects().size, 1)
 })
 
-nodeTest.test('a peer that went silent is forgotten', async (context) => {
+nodeTest.test('a peer that became silent is no longer asked', async (context) => {
   const harness = createHarness(context, { answer: () => types.fail(new types.UnavailableError('gone')) })
   harness.hear('near-1', 'hall-a', createListed(9, 'a'))
-  await harness.advance(createGossip.PEER_FORGET_MS + 100)
+  await harness.advance(createGossip.PEER_EXPIRY_MS + 100)
   const asked = harness.asked.length
   await harness.advance(5000)
   assert.ok(asked > 1)
   assert.equal(harness.asked.length, asked)
 })
 
-nodeTest.test('a peer of a fleet so large that it tells of itself only every 3.4 s is still asked before it does so again', async (context) => {
+nodeTest.test('a peer of a large fleet with 3.4 s between heartbeats is still asked before its next heartbeat', async (context) => {
   let isBack = false
   const harness = createHarness(context, { answer: (_host, _request, changes) => isBack ? types.succeed(changes) : types.fail(new types.UnavailableError('full')) })
   harness.hear('near-1', 'hall-a', createListed(9, 'a'))
@@ -191,10 +191,10 @@
   assert.equal(harness.mirror.objects().size, 1)
 })
 
-const DRIP_MS = 30_000
+const SLOW_ANSWER_MS = 30_000
 
-nodeTest.test('another peer of the hall is asked beside one whose answer drips', async (context) => {
-  const harness = createHarness(context, { answerMs: (host) => host === 'near-1' ? DRIP_MS : 100 })
+nodeTest.test('another peer of the hall is asked while one answers slowly', async (context) => {
+  const harness = createHarness(context, { answerMs: (host) => host === 'near-1' ? SLOW_ANSWER_MS : 100 })
   for (const host of ['near-1', 'near-2', 'near-3']) harness.hear(host, 'hall-a', createListed(9, 'a'))
   harness.hear('far-1', 'hall-b', createListed(9, 'a'))
   await harness.advance(2000)
@@ -204,13 +204,13 @@
   harness.hear('near-3', 'hall-a', createListed(12, 'a', 'b'))
   await harness.advance(500)
   assert.equal(harness.mirror.objects().size, 2)
-  await harness.advance(DRIP_MS)
+  await harness.advance(SLOW_ANSWER_MS)
   assert.equal(harness.mirror.state().at, 12)
   assert.deepEqual(harness.failures, [])
 })
 
-nodeTest.test('two peers are asked at a time at most, and an answer that comes late is taken if it is the first', async (context) => {
-  const harness = createHarness(context, { answerMs: (host) => host === 'near-1' ? 4000 : DRIP_MS })
+nodeTest.test('at most two peers are asked at a time, and a late answer is applied if it is the first', async (context) => {
+  const harness = createHarness(context, { answerMs: (host) => host === 'near-1' ? 4000 : SLOW_ANSWER_MS })
   for (const host of ['near-1', 'near-2', 'near-3']) harness.hear(host, 'hall-a', createListed(9, 'a'))
   await harness.advance(3900)
   assert.deepEqual(harness.asked, ['near-1', 'near-2'])
@@ -219,14 +219,14 @@
   assert.deepEqual(harness.ended, ['near-2'])
 })
 
-nodeTest.test('an answer that is not late is not asked for twice', async (context) => {
+nodeTest.test('no second request is sent while an answer is not late', async (context) => {
   const harness = createHarness(context, { answerMs: 450 })
   for (const host of ['near-1', 'near-2']) harness.hear(host, 'hall-a', createListed(9, 'a'))
   await harness.advance(2000)
   assert.deepEqual(harness.asked, ['near-1'])
 })
 
-nodeTest.test('another hall is asked after the grace when all of the own hall fail', async (context) => {
+nodeTest.test('another hall is asked after the grace period if all peers of the own hall fail', async (context) => {
   const harness = createHarness(context, { answer: (host, _request, changes) => host === 'far-1' ? types.succeed(changes) : types.fail(new types.UnavailableError('silent')) })
   harness.hear('near-1', 'hall-a', createListed(9, 'a'))
   harness.hear('far-1', 'hall-b', createListed(9, 'a'))
@@ -237,7 +237,7 @@
   assert.equal(harness.mirror.objects().size, 1)
 })
 
-nodeTest.test('a peer whose copy is not whole enough is neither asked nor believed', async (context) => {
+nodeTest.test('a peer whose copy is not complete enough is neither asked nor used to confirm the own copy', async (context) => {
   const harness = createHarness(context)
   harness.hear('near-1', 'hall-a', createListed(9, 'a'), 'agent')
   await harness.advance(2000)
--- a/packages/spread/src/createFactExchange/index.ts
+++ b/packages/spread/src/createFactExchange/index.ts
@@ -1,11 +1,11 @@
 /**
- * Spreads small facts that never change to all gateways: at once where datagrams arrive, and by comparing what two gateways know where they don't, also after
- * a restart or a cut network. Nobody keeps them but the gateways themselves.
+ * Distributes small immutable facts to all gateways: by immediate datagrams, and by anti-entropy, in which pairs of gateways compare what they know, for
+ * datagrams that were lost and after a restart or a network partition. The facts are stored nowhere but in the memory of the gateways.
  */
 import * as factWire from '../_lib/factWire.js'
 import * as hashes from '../_lib/hashes.js'
 
-/** Another gateway that lives. */
+/** Another live gateway. */
 export interface FactPeer {
   readonly host: string
   readonly zone: string
@@ -16,11 +16,11 @@
   readonly zone: string
   readonly peers: () => readonly FactPeer[]
   readonly send: (host: string, bytes: Buffer) => void
-  /** Told once of each fact of others; `madeAt` by this process's clock. */
-  readonly onFact: (content: unknown, madeAt: number) => void
-  /** Counts a datagram that can't be read. */
+  /** Called once for each fact of others; `createdAt` is a time of this process's clock. */
+  readonly onFact: (content: unknown, createdAt: number) => void
+  /** Called for each malformed datagram. */
   readonly onDrop: () => void
-  /** Calls later, unless the exchange was stopped. */
+  /** Runs an action after a delay, unless the exchange was stopped. */
   readonly later: (delayMs: number, action: () => void) => void
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
@@ -28,17 +28,17 @@
   readonly random: () => number
 }
 
-/** The exchange of one gateway. */
+/** The fact exchange of one gateway. */
 export interface FactExchange {
   /**
-   * Tells all gateways a fact.
+   * Sends a fact to all gateways.
    *
-   * @param content - What JSON can hold, some hundred bytes at most.
-   * @param keptMs - Milliseconds for which it is remembered.
-   * @param ageMs - Milliseconds since it was made.
+   * @param content - A JSON value, some hundred bytes at most.
+   * @param ttlMs - Milliseconds from its creation until it expires.
+   * @param ageMs - Milliseconds since its creation.
    */
-  readonly tell: (content: unknown, keptMs: number, ageMs?: number) => void
-  /** Takes a datagram; false if it is none of this exchange. */
+  readonly tell: (content: unknown, ttlMs: number, ageMs?: number) => void
+  /** Handles a datagram; returns false if it does not belong to this exchange. */
   readonly receive: (bytes: Buffer, from: string) => boolean
   /** To be called some times a second. */
   readonly tick: () => void
@@ -48,34 +48,34 @@
 interface Fact {
   readonly id: string
   readonly content: unknown
-  readonly madeAt: number
-  readonly keptMs: number
+  readonly createdAt: number
+  readonly ttlMs: number
   readonly hash: number
 }
 
-/** Facts that follow each other closely are told together, as calls that were lost with one back end are noticed. */
-const MERGE_MS = 10
-/** Two gateways compare what they know so often: each one asks another one, and is asked once on the mean. */
+/** Facts that follow each other closely are sent together, such as those of the calls lost with one back end. */
+const BATCH_MS = 10
+/** Time between two comparisons that a gateway starts with another one; on average it also answers one in this time. */
 const COMPARE_MS = 500
-/** A gateway that has just started asks more often, until it hears anything or so long. */
+/** A gateway that has just started compares more often, until it knows any fact or for so long. */
 const START_COMPARE_MS = 250
 const START_MS = 10_000
-/** Part of the comparisons within the own hall, whose network is not cut as easily. */
-const NEAR_PART = 0.5
-/** Datagrams of facts that follow a comparison: those that are kept longest, of which the newest are missing most often, and some of the others by turns. */
+/** Fraction of the comparisons within the own hall, whose network is less easily cut. */
+const OWN_HALL_FRACTION = 0.5
+/** Datagrams of facts sent after a comparison: one of those that expire last, among which are the newest, which are missing most often; the others rotate. */
 const REPAIR_DATAGRAMS = 2
-/** The same for a gateway that knows less than half as much, as after a restart or a cut: 10 KB. */
+/** The same for a gateway that knows less than half as many facts, as after a restart or a partition: 10 KB. */
 const CATCH_UP_DATAGRAMS = 8
-const CATCH_UP_PART = 0.5
-/** Facts that are nearly forgotten are not compared: another gateway may have forgotten them already. Nor are those that may still be under way. */
-const FORGETTING_MS = 3000
-const UNDER_WAY_MS = 250
-/** Tells the lives of a few hundred gateways apart. */
+const CATCH_UP_FRACTION = 0.5
+/** Facts that expire soon are not compared, since they may have expired on another gateway; nor are facts that may still be in transit. */
+const EXPIRING_MS = 3000
+const IN_TRANSIT_MS = 250
+/** Number of id prefixes, enough to distinguish the incarnations of a few hundred gateways. */
 const PREFIX_SIZE = 36 ** 6
-/** Facts that are remembered, some 300 bytes each; those that would be forgotten first give way. */
+/** Facts that are stored, some 300 bytes each; beyond them, the fact that expires first is evicted. */
 export const MAXIMUM_FACTS = 1000
-/** No fact is kept longer, whatever its datagram says. */
-const MAXIMUM_KEPT_MS = 7 * 24 * 3_600_000
+/** No fact is stored longer, whatever its datagram states. */
+const MAXIMUM_TTL_MS = 7 * 24 * 3_600_000
 const EXPIRE_MS = 1000
 
 /**
@@ -88,44 +88,44 @@
   const { now, random } = options
   const facts = new Map<string, Fact>()
   const startedAt = now()
-  /** Ids of this life's facts begin with it; another life counts from one again. */
+  /** Prefix of the ids of this incarnation's facts, since each incarnation counts from one. */
   const idPrefix = Math.floor(random() * PREFIX_SIZE).toString(36)
-  let made = 0
+  let createdCount = 0
   let comparedAt = -Infinity
   let expiredAt = now()
   let repairFrom = 0
-  let toTell: Fact[] = []
-  let toForward: Fact[] = []
+  let pendingOwn: Fact[] = []
+  let pendingForwarded: Fact[] = []
 
-  function isKept ({ madeAt, keptMs }: Fact): boolean {
-    return now() - madeAt < keptMs
+  function isUnexpired ({ createdAt, ttlMs }: Fact): boolean {
+    return now() - createdAt < ttlMs
   }
 
   function add (fact: Fact): boolean {
-    if (facts.has(fact.id) || !isKept(fact)) return false
+    if (facts.has(fact.id) || !isUnexpired(fact)) return false
     facts.set(fact.id, fact)
-    if (facts.size > MAXIMUM_FACTS) dropFirst()
+    if (facts.size > MAXIMUM_FACTS) evictEarliestExpiry()
     return true
   }
 
-  function endOf ({ madeAt, keptMs }: Fact): number {
-    return madeAt + keptMs
+  function computeExpiry ({ createdAt, ttlMs }: Fact): number {
+    return createdAt + ttlMs
   }
 
-  function dropFirst (): void {
+  function evictEarliestExpiry (): void {
     let first: Fact | null = null
-    for (const fact of facts.values()) if (first === null || endOf(fact) < endOf(first)) first = fact
+    for (const fact of facts.values()) if (first === null || computeExpiry(fact) < computeExpiry(first)) first = fact
     if (first !== null) facts.delete(first.id)
   }
 
   function expire (): void {
     if (now() - expiredAt < EXPIRE_MS) return
     expiredAt = now()
-    for (const fact of facts.values()) if (!isKept(fact)) facts.delete(fact.id)
+    for (const fact of facts.values()) if (!isUnexpired(fact)) facts.delete(fact.id)
   }
 
   function isCompared (fact: Fact): boolean {
-    return now() - fact.madeAt > UNDER_WAY_MS && endOf(fact) - now() > FORGETTING_MS
+    return now() - fact.createdAt > IN_TRANSIT_MS && computeExpiry(fact) - now() > EXPIRING_MS
   }
 
   function computeDigest (): number {
@@ -134,72 +134,72 @@
     return hash
   }
 
-  function format (told: readonly Fact[]): Buffer[] {
-    return factWire.formatFacts(told.map(({ id, madeAt, keptMs, content }) => ({ id, keptMs, content, ageMs: now() - madeAt }))).map((text) => Buffer.from(text))
+  function format (sent: readonly Fact[]): Buffer[] {
+    return factWire.formatFacts(sent.map(({ id, createdAt, ttlMs, content }) => ({ id, ttlMs, content, ageMs: now() - createdAt }))).map((text) => Buffer.from(text))
   }
 
-  function sendAll (hosts: readonly string[], told: readonly Fact[]): void {
-    const datagrams = format(told)
+  function sendAll (hosts: readonly string[], sent: readonly Fact[]): void {
+    const datagrams = format(sent)
     for (const host of hosts) for (const datagram of datagrams) options.send(host, datagram)
   }
 
-  function listNear (): string[] {
+  function listOwnHallHosts (): string[] {
     return options.peers().filter(({ zone }) => zone === options.zone).map(({ host }) => host)
   }
 
-  /** One of each other hall, another one each time, which tells its hall; where its datagram is lost, comparisons make up for it. */
-  function listHearers (): string[] {
+  /** Picks a random gateway of each other hall, which forwards to its hall; comparisons make up for a lost datagram. */
+  function pickOtherHallHosts (): string[] {
     const halls = new Map<string, string[]>()
     for (const { host, zone } of options.peers()) if (zone !== options.zone) halls.set(zone, [...halls.get(zone) ?? [], host])
     return [...halls.values()].map((hosts) => hosts[Math.floor(random() * hosts.length)] as string)
   }
 
-  function flushTold (): void {
-    const told = toTell
-    toTell = []
-    sendAll([...listNear(), ...listHearers()], told)
+  function sendOwn (): void {
+    const sent = pendingOwn
+    pendingOwn = []
+    sendAll([...listOwnHallHosts(), ...pickOtherHallHosts()], sent)
   }
 
-  function flushForwarded (): void {
-    const told = toForward
-    toForward = []
-    sendAll(listNear(), told)
+  function sendForwarded (): void {
+    const sent = pendingForwarded
+    pendingForwarded = []
+    sendAll(listOwnHallHosts(), sent)
   }
 
-  function noteFacts (told: readonly factWire.FactTold[], from: string): void {
+  function noteFacts (received: readonly factWire.WireFact[], from: string): void {
     const isNear = options.peers().some(({ host, zone }) => host === from && zone === options.zone)
-    for (const { id, ageMs, keptMs, content } of told) {
-      const fact = { id, content, madeAt: now() - ageMs, keptMs: Math.min(keptMs, MAXIMUM_KEPT_MS), hash: hashes.hashMixed(id) }
+    for (const { id, ageMs, ttlMs, content } of received) {
+      const fact = { id, content, createdAt: now() - ageMs, ttlMs: Math.min(ttlMs, MAXIMUM_TTL_MS), hash: hashes.hash32(id) }
       if (!add(fact)) continue
       if (!isNear) forward(fact)
-      options.onFact(content, fact.madeAt)
+      options.onFact(content, fact.createdAt)
     }
   }
 
-  /** What comes from another hall, others of the own one may not have heard. */
+  /** Forwards a fact from another hall to the own hall, where other gateways may not have received it. */
   function forward (fact: Fact): void {
-    if (toForward.length === 0) options.later(MERGE_MS, flushForwarded)
-    toForward.push(fact)
+    if (pendingForwarded.length === 0) options.later(BATCH_MS, sendForwarded)
+    pendingForwarded.push(fact)
   }
 
-  /** Those facts that are kept longest, and some of all others; the next comparison goes on where this one ends. */
+  /** Sends the facts that expire last, and some of the others; the next repair continues where this one ends. */
   function repair (host: string, count: number): void {
-    const [first, ...others] = format([...facts.values()].sort((left, right) => endOf(right) - endOf(left)))
+    const [first, ...others] = format([...facts.values()].sort((left, right) => computeExpiry(right) - computeExpiry(left)))
     if (first === undefined) return
-    const most = (count < facts.size * CATCH_UP_PART ? CATCH_UP_DATAGRAMS : REPAIR_DATAGRAMS) - 1
-    const start = others.length <= most ? 0 : repairFrom % others.length
-    repairFrom = start + most
-    for (const datagram of [first, ...[...others.slice(start), ...others.slice(0, start)].slice(0, most)]) options.send(host, datagram)
+    const maximumMore = (count < facts.size * CATCH_UP_FRACTION ? CATCH_UP_DATAGRAMS : REPAIR_DATAGRAMS) - 1
+    const start = others.length <= maximumMore ? 0 : repairFrom % others.length
+    repairFrom = start + maximumMore
+    for (const datagram of [first, ...[...others.slice(start), ...others.slice(0, start)].slice(0, maximumMore)]) options.send(host, datagram)
   }
 
-  function noteDigest ({ hash, count, isAsking }: factWire.FactMessage & { type: 'digest' }, from: string): void {
+  function noteDigest ({ hash, count, expectsReply }: factWire.FactMessage & { type: 'digest' }, from: string): void {
     if (hash === computeDigest()) return
     repair(from, count)
-    if (isAsking) sendDigest(from, false)
+    if (expectsReply) sendDigest(from, false)
   }
 
-  function sendDigest (host: string, isAsking: boolean): void {
-    options.send(host, Buffer.from(factWire.formatDigest(computeDigest(), facts.size, isAsking)))
+  function sendDigest (host: string, expectsReply: boolean): void {
+    options.send(host, Buffer.from(factWire.formatFactDigest(computeDigest(), facts.size, expectsReply)))
   }
 
   function compare (): void {
@@ -208,7 +208,7 @@
     if (now() - comparedAt < (isStarting ? START_COMPARE_MS : COMPARE_MS)) return
     const peers = options.peers()
     const near = peers.filter(({ zone }) => zone === options.zone)
-    const among = near.length > 0 && random() < NEAR_PART ? near : peers
+    const among = near.length > 0 && random() < OWN_HALL_FRACTION ? near : peers
     const peer = among[Math.floor(random() * among.length)]
     if (peer === undefined) return
     comparedAt = now()
@@ -216,13 +216,13 @@
   }
 
   return {
-    tell: (content, keptMs, ageMs = 0) => {
-      made += 1
-      const id = `${idPrefix}/${made}`
-      const fact = { id, content, madeAt: now() - ageMs, keptMs, hash: hashes.hashMixed(id) }
+    tell: (content, ttlMs, ageMs = 0) => {
+      createdCount += 1
+      const id = `${idPrefix}/${createdCount}`
+      const fact = { id, content, createdAt: now() - ageMs, ttlMs, hash: hashes.hash32(id) }
       if (!add(fact)) return
-      if (toTell.length === 0) options.later(MERGE_MS, flushTold)
-      toTell.push(fact)
+      if (pendingOwn.length === 0) options.later(BATCH_MS, sendOwn)
+      pendingOwn.push(fact)
     },
     receive: (bytes, from) => {
       if (!factWire.isFactDatagram(bytes)) return false
--- a/packages/spread/src/createGossip/index.ts
+++ b/packages/spread/src/createGossip/index.ts
@@ -1,15 +1,15 @@
-/** Heartbeats between daemons by UDP: who is there, how far their copies of the store are, and how loaded their engines are. */
+/** Gossip between daemons by UDP: membership, states of store copies, and reports of engines. */
 import type * as clock from '@switchridge/clock'
 import * as createChangeBroadcaster from '../_lib/createChangeBroadcaster.js'
-import * as createFinder from '../_lib/createFinder.js'
-import * as createForgetting from '../_lib/createForgetting.js'
+import * as createDiscovery from '../_lib/createDiscovery.js'
+import * as createMemberExpiry from '../_lib/createMemberExpiry.js'
 import * as createHallRelay from '../_lib/createHallRelay.js'
-import * as createIntroduction from '../_lib/createIntroduction.js'
-import * as createRegularBroadcaster from '../_lib/createRegularBroadcaster.js'
+import * as createHostExchange from '../_lib/createHostExchange.js'
+import * as createPeriodicBroadcaster from '../_lib/createPeriodicBroadcaster.js'
 import * as fleetView from '../_lib/fleetView.js'
-import * as hallNews from '../_lib/hallNews.js'
+import * as hallCopies from '../_lib/hallCopies.js'
 import type * as heartbeats from '../_lib/heartbeat.js'
-import * as measureDelays from '../_lib/measureDelays.js'
+import * as createDelayEstimator from '../_lib/createDelayEstimator.js'
 import * as memberTable from '../_lib/memberTable.js'
 import * as rates from '../_lib/rates.js'
 import * as wire from '../_lib/wire.js'
@@ -17,7 +17,7 @@
 
 export type { Heartbeat, Peer } from '../_lib/heartbeat.js'
 export type { DropReason } from '../_lib/wire.js'
-export { PEER_FORGET_MS } from '../_lib/createForgetting.js'
+export { PEER_EXPIRY_MS } from '../_lib/createMemberExpiry.js'
 export { PEER_LIVE_MS } from '../_lib/fleetView.js'
 export { CONTROL_BYTES_PER_SECOND } from '../_lib/rates.js'
 export { CANDIDATES, LISTENERS } from '../_lib/relays.js'
@@ -26,69 +26,69 @@
 export interface GossipOptions {
   readonly host: string
   readonly openDatagrams: openDatagrams.OpenDatagrams
-  /** Hosts to ask for other daemons. */
+  /** Hosts to contact first in order to discover other daemons. */
   readonly seeds: readonly string[]
   readonly describeSelf: () => heartbeats.Heartbeat
   /**
-   * `delayMs`: how much longer than the fastest one before this word was under way, over all its hops; a link that is
-   * full delays it. `ageMs`: how long before relays held it; 0 of a member of the own hall.
+   * Called with each received state of a member. `delayMs`: transit time over all hops beyond that of the fastest datagrams, as
+   * behind full links. `ageMs`: time that relays held the state before sending it; 0 if it came directly.
    */
   readonly onHeartbeat: (heartbeat: heartbeats.Heartbeat, delayMs: number, ageMs: number) => void
-  /** Counts a datagram that was dropped. */
+  /** Called for each dropped datagram. */
   readonly onDrop?: (reason: wire.DropReason) => void
-  /** Called some times a second while the daemon is awake anyway. */
+  /** Called at each tick, some times a second, so that other work can share the wake-up. */
   readonly onTick?: () => void
-  /** Is told how the clocks of others compare with it while it is uncertain. */
+  /** Receives comparisons with the clocks of other daemons while it is uncertain. */
   readonly clock: Pick<clock.SteadyClock, 'isUncertain' | 'noteOther'>
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
 }
 
-/** The exchange of one daemon. */
+/** The gossip of one daemon. */
 export interface Gossip {
-  /** Daemons heard of within {@link createForgetting.PEER_FORGET_MS}, or longer where all are told of less often. */
+  /** Daemons heard of within {@link createMemberExpiry.PEER_EXPIRY_MS}, or within a longer time in fleets with longer intervals. */
   readonly peers: () => readonly heartbeats.Peer[]
-  /** Whether a peer was heard of lately. */
+  /** Tells whether a peer was heard of within the silence limit. */
   readonly isLive: (peer: heartbeats.Peer) => boolean
-  /** Tells all peers, or those of one role, at once of this daemon; changes of copies that follow each other closely are told together. */
+  /** Announces the state of this daemon at once to all peers, or to those of one role; changes of copies that follow each other closely are merged. */
   readonly sendNow: (role?: heartbeats.Heartbeat['role']) => void
-  /** Adds hosts that may be daemons. */
+  /** Adds hosts that may run daemons. */
   readonly addHosts: (hosts: readonly string[]) => void
   readonly stop: () => void
 }
 
 /**
- * Those that speak for no hall, and would not follow, look so often at most at what is due: each look is a wake-up, which idle daemons pay for.
- * An agent looks a whole number of times between two of its news.
+ * Longest time between two ticks of daemons that are neither relays nor standbys: each tick is a wake-up, which costs idle daemons CPU time.
+ * An agent ticks a whole number of times between two of its engine reports.
  */
 const TICK_MAXIMUM_MS = 100
-/** The view of the fleet may be so old at those that speak for the hall, or would follow, and at all others; a member that is new renews it. */
-const SPEAKER_VIEW_MS = 200
-const VIEW_MS = 500
+/** Maximum age of the view of the fleet, on relays and their standbys and on all others; a new member renews it at once. */
+const CANDIDATE_VIEW_MS = 200
+const VIEW_MAXIMUM_AGE_MS = 500
 
 /**
- * Opens the exchange.
+ * Starts the gossip of a daemon.
  *
- * @param options - Address, seeds and what is told.
- * @returns The exchange; datagrams that get lost are made good by later ones.
+ * @param options - Address, seeds and the state to announce.
+ * @returns The gossip; lost datagrams are made up for by later ones.
  */
 export async function createGossip (options: GossipOptions): Promise<Gossip> {
   const { now, host: ownHost } = options
   const { zone: ownZone, role: ownRole } = options.describeSelf()
   const table = memberTable.createMemberTable()
-  const { measure: measureDelay, compare: compareClock } = measureDelays.createDelayMeasure()
-  const finder = createFinder.createFinder({ ownHost, seeds: options.seeds, isLive: isLiveHost, knock: (host) => { broadcaster.introduce(host, 'sender') }, now })
-  const introduction = createIntroduction.createIntroduction({ ownZone, look, send, now })
-  const relay = createHallRelay.createHallRelay({ ownHost, describeSelf: options.describeSelf, find: table.get, look, send, later, now })
-  const announceChange = createChangeBroadcaster.createChangeBroadcaster({ describeSelf: options.describeSelf, look, tell: relay.tellChange, later, now })
-  const broadcaster = createRegularBroadcaster.createRegularBroadcaster({ ownHost, describeSelf: options.describeSelf, look, isSpeaking: () => isSpeaking, send, now })
-  const forgetting = createForgetting.createForgetting({ table, ownZone, knowsHall, onForgotten: (host) => { broadcaster.forget(host) }, now })
+  const { measure: measureDelay, compareClock } = createDelayEstimator.createDelayEstimator()
+  const discovery = createDiscovery.createDiscovery({ ownHost, seeds: options.seeds, isLive: isLiveHost, contact: (host) => { broadcaster.sendFirstHeartbeat(host, 'sender') }, now })
+  const hostExchange = createHostExchange.createHostExchange({ ownZone, getView, send, now })
+  const relay = createHallRelay.createHallRelay({ ownHost, describeSelf: options.describeSelf, find: table.get, getView, send, schedule, now })
+  const announceChange = createChangeBroadcaster.createChangeBroadcaster({ describeSelf: options.describeSelf, getView, broadcast: relay.broadcastChange, schedule, now })
+  const broadcaster = createPeriodicBroadcaster.createPeriodicBroadcaster({ ownHost, describeSelf: options.describeSelf, getView, isRelayCandidate: () => isRelayCandidate, send, now })
+  const memberExpiry = createMemberExpiry.createMemberExpiry({ table, ownZone, isHallKnown, onExpired: (host) => { broadcaster.forget(host) }, now })
   let view: fleetView.FleetView | null = null
   let viewedAt = -Infinity
-  /** Whether this daemon is among those that speak for its hall, or would follow. */
-  let isSpeaking = true
+  /** Whether this daemon is a relay of its hall or a standby. */
+  let isRelayCandidate = true
   let isStopped = false
-  let hasToldLeaving = false
+  let hasAnnouncedLeaving = false
   const timers = new Set<NodeJS.Timeout>()
   const socket = await options.openDatagrams(receive)
 
@@ -96,7 +96,7 @@
     if (!isStopped && host !== ownHost) socket.send(host, Buffer.from(text))
   }
 
-  function later (delayMs: number, action: () => void): void {
+  function schedule (delayMs: number, action: () => void): void {
     const timer = setTimeout(() => {
       timers.delete(timer)
       if (!isStopped) action()
@@ -104,12 +104,12 @@
     timers.add(timer)
   }
 
-  function look (): fleetView.FleetView {
-    if (view !== null && now() - viewedAt < (isSpeaking ? SPEAKER_VIEW_MS : VIEW_MS)) return view
+  function getView (): fleetView.FleetView {
+    if (view !== null && now() - viewedAt < (isRelayCandidate ? CANDIDATE_VIEW_MS : VIEW_MAXIMUM_AGE_MS)) return view
     viewedAt = now()
-    if (view !== null) forgetting.tick(view.intervals)
-    view = fleetView.viewFleet(table.all(), options.describeSelf(), viewedAt, view?.intervals ?? rates.computeIntervals({ gateways: 0, agents: 0, farGateways: 0, farAgents: 0 }))
-    isSpeaking = view.candidates.some(({ host }) => host === ownHost)
+    if (view !== null) memberExpiry.tick(view.intervals)
+    view = fleetView.computeFleetView(table.all(), options.describeSelf(), viewedAt, view?.intervals ?? rates.computeIntervals({ gateways: 0, agents: 0, farGateways: 0, farAgents: 0 }))
+    isRelayCandidate = view.candidates.some(({ host }) => host === ownHost)
     return view
   }
 
@@ -118,7 +118,7 @@
   }
 
   function isLive (peer: heartbeats.Peer): boolean {
-    return now() - peer.heardAt <= fleetView.computeLiveMs(isNear(peer.heartbeat.zone), look().intervals)
+    return now() - peer.heardAt <= fleetView.computeLiveMs(isNear(peer.heartbeat.zone), getView().intervals)
   }
 
   function isLiveHost (host: string): boolean {
@@ -126,7 +126,7 @@
     return member !== undefined && isLive(member)
   }
 
-  // What comes in.
+  // Received datagrams.
 
   function receive (bytes: Buffer, from: string): void {
     const decoded = wire.decode(bytes)
@@ -135,83 +135,83 @@
       return
     }
     const { message } = decoded
-    if (options.clock.isUncertain()) compareWith(message, from)
+    if (options.clock.isUncertain()) compareClocks(message, from)
     else if (message.type === 'heartbeat') noteHeartbeat(message, from)
-    else if (message.type === 'news') noteNews(message, from)
-    else if (message.type === 'sign') noteSign(message.isRound, from)
-    else if (message.type === 'hosts') finder.add(message.hosts)
+    else if (message.type === 'news') noteEngineReport(message, from)
+    else if (message.type === 'sign') noteKeepalive(message.isRound, from)
+    else if (message.type === 'hosts') discovery.addHosts(message.hosts)
     else noteDigest(message, from)
   }
 
-  /** Nothing is taken in whose age may be wrong: it would be told to all, and all of it is told again. */
-  function compareWith (message: wire.Message, from: string): void {
-    const sentAt = message.type === 'digest' ? message.way.sentAt : message.type === 'heartbeat' || message.type === 'news' ? message.sentAt : null
+  /** Only compares clocks: a message whose age may be wrong is not applied, since its age would spread to all daemons; all of it is sent again later. */
+  function compareClocks (message: wire.Message, from: string): void {
+    const sentAt = message.type === 'digest' ? message.header.sentAt : message.type === 'heartbeat' || message.type === 'news' ? message.sentAt : null
     const aheadMs = sentAt === null ? null : compareClock(from, sentAt, now())
     if (aheadMs !== null) options.clock.noteOther(from, aheadMs)
   }
 
   function noteHeartbeat ({ heartbeat, sentAt, viewHash, urgency }: wire.Message & { type: 'heartbeat' }, from: string): void {
     if (heartbeat.host === ownHost) return
-    const isNewHall = !knowsHall(heartbeat.zone)
-    const { delayMs, isNewLife } = measureDelay(heartbeat.host, sentAt, now())
-    const wasLive = isLiveHost(heartbeat.host) && !isNewLife
-    table.noteWhole(heartbeat, delayMs, now())
-    if (!wasLive) welcome(heartbeat, from)
-    if (!wasLive && isNear(heartbeat.zone)) relay.tellNewcomer(heartbeat.host)
-    else if (isNear(heartbeat.zone) && viewHash !== look().hash) introduction.tellHosts(heartbeat, from)
-    if (isNewHall) for (const { host } of look().candidates) for (const text of wire.formatHosts([heartbeat.host])) send(host, text)
-    // Whoever asks is known here already, and would hear of this daemon at its next heartbeat only.
+    const isNewHall = !isHallKnown(heartbeat.zone)
+    const { delayMs, isRestarted } = measureDelay(heartbeat.host, sentAt, now())
+    const wasLive = isLiveHost(heartbeat.host) && !isRestarted
+    table.noteHeartbeat(heartbeat, delayMs, now())
+    if (!wasLive) welcomePeer(heartbeat, from)
+    if (!wasLive && isNear(heartbeat.zone)) relay.announceNewMember(heartbeat.host)
+    else if (isNear(heartbeat.zone) && viewHash !== getView().viewHash) hostExchange.sendHostsThrottled(heartbeat, from)
+    if (isNewHall) for (const { host } of getView().candidates) for (const text of wire.formatHosts([heartbeat.host])) send(host, text)
+    // A sender that was live before was not welcomed above, and would otherwise hear of this daemon only at its next heartbeat.
     if (urgency === 'sender') {
-      if (wasLive) broadcaster.sendWhole(heartbeat.host)
-    } else if (urgency !== 'nobody' && isNear(heartbeat.zone)) relay.tellAtOnce(heartbeat.host, urgency)
+      if (wasLive) broadcaster.sendHeartbeat(heartbeat.host)
+    } else if (urgency !== 'nobody' && isNear(heartbeat.zone)) relay.announceMember(heartbeat.host, urgency)
     options.onHeartbeat({ ...heartbeat, versions: ageVersions(heartbeat.versions, delayMs) }, delayMs, 0)
   }
 
-  function ageVersions (versions: readonly heartbeats.VersionTold[], delayMs: number): heartbeats.VersionTold[] {
+  function ageVersions (versions: readonly heartbeats.RecentVersion[], delayMs: number): heartbeats.RecentVersion[] {
     return versions.map((each) => ({ ...each, ageMs: each.ageMs + delayMs }))
   }
 
-  function noteNews ({ engine, sentAt }: wire.Message & { type: 'news' }, from: string): void {
+  function noteEngineReport ({ engine, sentAt }: wire.Message & { type: 'news' }, from: string): void {
     const member = table.get(from)
     if (member === undefined) {
       options.onDrop?.('unknown-sender')
       return
     }
-    const { delayMs, isNewLife } = measureDelay(from, sentAt, now())
-    table.noteWhole({ ...member.heartbeat, engine }, delayMs, now())
-    if (isNewLife) welcome(member.heartbeat, from)
+    const { delayMs, isRestarted } = measureDelay(from, sentAt, now())
+    table.noteHeartbeat({ ...member.heartbeat, engine }, delayMs, now())
+    if (isRestarted) welcomePeer(member.heartbeat, from)
     options.onHeartbeat({ ...member.heartbeat, versions: [] }, delayMs, 0)
   }
 
-  /** The relay that comes first sets the time of rounds; the other one sends halfway between two of them. */
-  function noteSign (isRound: boolean, from: string): void {
+  /** The keepalive of the first relay sets the schedule of digest rounds; the other relay sends halfway between two of them. */
+  function noteKeepalive (isRound: boolean, from: string): void {
     const member = table.get(from)
     if (member === undefined) {
       options.onDrop?.('unknown-sender')
       return
     }
     member.heardAt = now()
-    if (isRound) relay.noteRound()
+    if (isRound) relay.noteDigestRound()
   }
 
-  function noteDigest ({ way, digest, body }: wire.Message & { type: 'digest' }, from: string): void {
-    const delayMs = way.delayMs + measureDelay(from, way.sentAt, now()).delayMs
-    if (isNear(digest.zone)) noteOwnHall(digest, delayMs)
-    const news = isNear(digest.zone) ? [] : digest.members.filter((member) => noteRelayed(member, delayMs))
-    relay.spread(way, delayMs, body, news.length > 0 || hallNews.isNewer(digest.copies, relay.collectOwn()))
-    for (const { heartbeat, ageMs, delayMs: before } of news) options.onHeartbeat(heartbeat, before + delayMs, ageMs)
-    noteHall(digest, delayMs)
+  function noteDigest ({ header, digest, body }: wire.Message & { type: 'digest' }, from: string): void {
+    const delayMs = header.delayMs + measureDelay(from, header.sentAt, now()).delayMs
+    if (isNear(digest.zone)) noteHallUpdates(digest, delayMs)
+    const newerMembers = isNear(digest.zone) ? [] : digest.members.filter((member) => noteRelayed(member, delayMs))
+    relay.forwardDigest(header, delayMs, body, newerMembers.length > 0 || hallCopies.hasNewerCopies(digest.copies, relay.collectOwnCopies()))
+    for (const { heartbeat, ageMs, delayMs: previousDelayMs } of newerMembers) options.onHeartbeat(heartbeat, previousDelayMs + delayMs, ageMs)
+    noteHallCopies(digest, delayMs)
   }
 
-  /** A relay's word of the own hall: of agents what they say of their engines, of gateways that they live. */
-  function noteOwnHall ({ told }: wire.Digest, delayMs: number): void {
-    if (told.length > 0) relay.noteHallRound()
-    const strangers = told.map(({ host }) => host).filter((host) => table.get(host) === undefined)
-    if (strangers.length > 0) finder.add(strangers)
-    for (const each of told) if (each.host !== ownHost) noteTold(each, each.delayMs + delayMs)
+  /** Applies a relay's updates of the own hall: engine reports of agents, and keepalives of gateways. */
+  function noteHallUpdates ({ updates }: wire.Digest, delayMs: number): void {
+    if (updates.length > 0) relay.noteHallRound()
+    const unknownHosts = updates.map(({ host }) => host).filter((host) => table.get(host) === undefined)
+    if (unknownHosts.length > 0) discovery.addHosts(unknownHosts)
+    for (const each of updates) if (each.host !== ownHost) applyMemberUpdate(each, each.delayMs + delayMs)
   }
 
-  function noteTold ({ host, ageMs, engine }: wire.ToldMember, delayMs: number): void {
+  function applyMemberUpdate ({ host, ageMs, engine }: wire.MemberUpdate, delayMs: number): void {
     const member = table.get(host)
     if (member === undefined) return
     if (engine === null) {
@@ -226,19 +226,19 @@
     const { host, zone } = member.heartbeat
     if (host === ownHost) return false
     const isNew = table.get(host) === undefined
-    const isNews = table.noteRelayed(member, member.delayMs + delayMs, now())
-    if (isNew && isNews && !knowsHall(zone)) viewedAt = -Infinity
-    return isNews
+    const isNewer = table.noteRelayed(member, member.delayMs + delayMs, now())
+    if (isNew && isNewer && !isHallKnown(zone)) viewedAt = -Infinity
+    return isNewer
   }
 
-  function knowsHall (zone: string): boolean {
-    return isNear(zone) || look().halls.some((hall) => hall.zone === zone)
+  function isHallKnown (zone: string): boolean {
+    return isNear(zone) || getView().halls.some((hall) => hall.zone === zone)
   }
 
-  /** What holds for a hall is told in the names of those who hold it, so that they can be asked. */
-  function noteHall (digest: wire.Digest, delayMs: number): void {
+  /** Reports copies and versions of a hall as heartbeats of the members that hold the copies, so that they can be asked for them. */
+  function noteHallCopies (digest: wire.Digest, delayMs: number): void {
     let versions = ageVersions(digest.versions, delayMs)
-    for (const [host, copies] of hallNews.groupByHost(digest.copies)) {
+    for (const [host, copies] of hallCopies.groupByHost(digest.copies)) {
       const member = table.get(host)
       if (member === undefined || host === ownHost) continue
       member.heartbeat = { ...member.heartbeat, copies: { ...member.heartbeat.copies, ...copies } }
@@ -247,60 +247,60 @@
     }
   }
 
-  /** Tells a daemon that was not known of this one, of others of its hall, and of other halls. */
-  function welcome (newcomer: heartbeats.Heartbeat, from: string): void {
+  /** Sends a new peer a heartbeat of this daemon, and hosts of its hall and of other halls. */
+  function welcomePeer (newPeer: heartbeats.Heartbeat, from: string): void {
     viewedAt = -Infinity
-    broadcaster.introduce(newcomer.host, 'nobody')
-    introduction.sendHosts(newcomer, from)
+    broadcaster.sendFirstHeartbeat(newPeer.host, 'nobody')
+    hostExchange.sendHosts(newPeer, from)
   }
 
-  // What goes out at its time.
+  // Periodic datagrams.
 
   function tick (): void {
-    const { near, halls, rank } = look()
+    const { near, halls, rank } = getView()
     broadcaster.tick()
     relay.tick()
-    finder.tick(near.length + halls.length === 0, () => rank >= 0 ? forgetting.listLost() : [])
+    discovery.tick(near.length + halls.length === 0, () => rank >= 0 ? memberExpiry.listHostsToRetry() : [])
   }
 
-  // What goes out at once.
+  // Immediate datagrams.
 
   function sendNow (role?: heartbeats.Heartbeat['role']): void {
-    const isFarewell = role === undefined && options.describeSelf().isLeaving && !hasToldLeaving
-    if (isFarewell) hasToldLeaving = true
-    if (role === undefined && !isFarewell) announceChange()
-    else tellAtOnce(role === 'gateway' ? 'gateways' : 'all', role)
+    const isLeavingAnnouncement = role === undefined && options.describeSelf().isLeaving && !hasAnnouncedLeaving
+    if (isLeavingAnnouncement) hasAnnouncedLeaving = true
+    if (role === undefined && !isLeavingAnnouncement) announceChange()
+    else announceImmediately(role === 'gateway' ? 'gateways' : 'all', role)
   }
 
-  /** To the own hall directly, and to those that may be relays, for the others. */
-  function tellAtOnce (urgency: wire.Audience, role?: heartbeats.Heartbeat['role']): void {
+  /** Sends directly to the own hall, and to the relay candidates, which announce it to other halls. */
+  function announceImmediately (urgency: wire.Audience, role?: heartbeats.Heartbeat['role']): void {
     const text = broadcaster.formatSelf(urgency)
-    const hosts = look().near.filter((member) => role === undefined || member.heartbeat.role === role).map((member) => member.heartbeat.host)
-    for (const host of new Set([...hosts, ...look().candidates.map((each) => each.host)])) {
-      broadcaster.noteSpoken(host)
+    const hosts = getView().near.filter((member) => role === undefined || member.heartbeat.role === role).map((member) => member.heartbeat.host)
+    for (const host of new Set([...hosts, ...getView().candidates.map((each) => each.host)])) {
+      broadcaster.noteSent(host)
       send(host, text)
     }
-    relay.tellAtOnce(ownHost, urgency)
+    relay.announceMember(ownHost, urgency)
   }
 
-  function keepTicking (): void {
+  function runTicks (): void {
     tick()
     options.onTick?.()
-    timer = setTimeout(keepTicking, chooseTickMs())
+    timer = setTimeout(runTicks, chooseTickMs())
   }
 
   function chooseTickMs (): number {
-    const { intervals: { newsMs } } = look()
-    if (isSpeaking) return createRegularBroadcaster.SPEAKER_TICK_MS
-    return ownRole === 'agent' ? newsMs / Math.ceil(newsMs / TICK_MAXIMUM_MS) : TICK_MAXIMUM_MS
+    const { intervals: { engineReportMs } } = getView()
+    if (isRelayCandidate) return createPeriodicBroadcaster.CANDIDATE_TICK_MS
+    return ownRole === 'agent' ? engineReportMs / Math.ceil(engineReportMs / TICK_MAXIMUM_MS) : TICK_MAXIMUM_MS
   }
 
   let timer: NodeJS.Timeout
-  keepTicking()
+  runTicks()
   return {
     peers: () => table.all(),
     isLive,
-    addHosts: finder.add,
+    addHosts: discovery.addHosts,
     sendNow,
     stop: () => {
       isStopped = true
--- a/packages/spread/src/createGossip/test.ts
+++ b/packages/spread/src/createGossip/test.ts
@@ -14,7 +14,7 @@
   return { node: types.brandId('node-a'), role: 'agent', zone: 'zone-a', host: OWN_HOST, isLeaving: false, isStoreLost: false, copies: {}, versions: [], suspects: [], engine: null }
 }
 
-/** A seed that counts what it is sent and says nothing until it is told to. */
+/** Opens a seed that counts received datagrams and never answers. */
 async function openSeed (context: nodeTest.TestContext): Promise<{ port: number, count: () => number }> {
   const socket = dgram.createSocket('udp4')
   let count = 0
@@ -24,7 +24,7 @@
   return { port: socket.address().port, count: () => count }
 }
 
-nodeTest.test('a daemon that knows nobody asks its seeds at every tick, so that it hears of them soon after they began', async (context) => {
+nodeTest.test('a daemon that knows no other one contacts its seeds at every tick, so that it finds them soon after they start', async (context) => {
   const seed = await openSeed(context)
   context.mock.timers.enable({ apis: ['setInterval', 'Date'] })
   const gossip = await createGossip.createGossip({
--- a/packages/spread/src/createGossip/traffic.test.ts
+++ b/packages/spread/src/createGossip/traffic.test.ts
@@ -1,20 +1,20 @@
-/** Bytes that heartbeats cost each daemon, by the size of the fleet. */
+/** Control traffic of each daemon, by the size of the fleet. */
 import * as assert from 'node:assert/strict'
 import * as nodeTest from 'node:test'
 import * as fleetTesting from '../_lib/fleetTesting.js'
 
-/** Bytes a second in, and out, that control may take of one daemon. */
-const BOUND = 16_384
+/** Bytes per second that control traffic may take in each direction of one daemon. */
+const BYTES_PER_SECOND_LIMIT = 16_384
 const SETTLE_MS = 3000
 const MEASURED_MS = 5000
 const CHANGE_MS = 333
 const SECOND_MS = 1000
 const SAMPLE_MS = 20
-/** Reports at gateways of a site are no older: those of the own hall, and those of others. */
+/** Maximum age of engine reports on gateways in fleets of up to this size, for the own hall and for other halls. */
 const SITE_MEMBERS = 73
 const NEAR_AGE_MS = 500
 const FAR_AGE_MS = 1000
-/** Members as the sites have them today and soon; larger ones are named by hand. */
+/** Sizes of fleets to measure; the larger one below runs only with the environment variable EXCHANGE_LARGE. */
 const SIZES = [
   { gateways: 7, agents: 9, halls: 3 },
   { gateways: 13, agents: 31, halls: 1 },
@@ -22,15 +22,15 @@
   { gateways: 98, agents: 85, halls: 5 }
 ]
 const LARGE = { gateways: 370, agents: 910, halls: 8 }
-/** Gateways take a change over within this of each other, and their copies of what did not change are as far as their last answers. */
-const TAKEOVER_MS = 60
-/** A daemon takes in so many bytes a second at most for one change a second: those of two broadcasters of its hall, and of one of each other hall. */
+/** Gateways adopt a change within this time of each other; the positions of their other copies depend on their last answers of the store. */
+const ADOPTION_MS = 60
+/** Maximum bytes per second that a daemon receives for one change a second: from two broadcasters of its hall, and one of each other hall. */
 const ONE_CHANGE_BYTES = 600
-const LATER = { gateways: 39, agents: 45, halls: 3 }
-/** Wake-ups a second of an idle daemon that speaks for no hall, and datagrams that it sends: looks at what is due and datagrams that come in. */
+const THREE_HALLS = { gateways: 39, agents: 45, halls: 3 }
+/** Maximum wake-ups per second, which are ticks and received datagrams, and maximum sent datagrams of an idle daemon that is no relay. */
 const LARGE_MEMBERS = 100
 const WAKE_UPS = { gateway: 45, agent: 25 }
-const SENT = { gateway: 30, agent: 20 }
+const DATAGRAMS_SENT = { gateway: 30, agent: 20 }
 const plans = process.env['EXCHANGE_LARGE'] === undefined ? SIZES : [LARGE]
 
 interface Row {
@@ -44,11 +44,11 @@
   const rate = (value: number): number => Math.round(value * SECOND_MS / MEASURED_MS)
   const of = (role: string): string => {
     const traffics = fleet.daemons.filter((daemon) => daemon.role === role).map((daemon) => daemon.traffic)
-    const most = (pick: (traffic: fleetTesting.Traffic) => number): string => {
+    const formatMeanAndMaximum = (pick: (traffic: fleetTesting.Traffic) => number): string => {
       const values = traffics.map(pick)
       return `${rate(values.reduce((sum, value) => sum + value, 0) / values.length)} (${rate(Math.max(...values))})`
     }
-    return `${role} in ${most((each) => each.bytesIn)} B, ${most((each) => each.datagramsIn)} datagrams, out ${most((each) => each.bytesOut)} B, ${most((each) => each.datagramsOut)} datagrams`
+    return `${role} in ${formatMeanAndMaximum((each) => each.bytesIn)} B, ${formatMeanAndMaximum((each) => each.datagramsIn)} datagrams, out ${formatMeanAndMaximum((each) => each.bytesOut)} B, ${formatMeanAndMaximum((each) => each.datagramsOut)} datagrams`
   }
   const bytesIn = rate(Math.max(...fleet.daemons.map(({ traffic }) => traffic.bytesIn)))
   const bytesOut = rate(Math.max(...fleet.daemons.map(({ traffic }) => traffic.bytesOut)))
@@ -56,20 +56,20 @@
   return { bytesIn, bytesOut, worst: Math.max(bytesIn, bytesOut), text }
 }
 
-/** In a hall of all sizes the middle daemon of a role, since those that speak for a hall look more often. */
+/** Checks the median daemon of a role, since relays and their standbys tick more often. */
 function checkWakeUps (fleet: fleetTesting.TestFleet, role: 'gateway' | 'agent', context: nodeTest.TestContext): void {
-  const middle = (pick: (traffic: fleetTesting.Traffic) => number): number => {
+  const computeMedian = (pick: (traffic: fleetTesting.Traffic) => number): number => {
     const values = fleet.daemons.filter((daemon) => daemon.role === role).map(({ traffic }) => pick(traffic) * SECOND_MS / MEASURED_MS)
     return values.sort((left, right) => left - right)[Math.floor(values.length / 2)] as number
   }
-  const wakeUps = middle((traffic) => traffic.looks + traffic.datagramsIn)
-  const sent = middle((traffic) => traffic.datagramsOut)
-  context.diagnostic(`${fleet.daemons.length} members: the middle ${role} wakes up ${wakeUps} times a second and sends ${sent} datagrams`)
+  const wakeUps = computeMedian((traffic) => traffic.ticks + traffic.datagramsIn)
+  const sent = computeMedian((traffic) => traffic.datagramsOut)
+  context.diagnostic(`${fleet.daemons.length} members: the median ${role} wakes up ${wakeUps} times a second and sends ${sent} datagrams`)
   assert.ok(wakeUps <= WAKE_UPS[role], `${wakeUps} wake-ups a second`)
-  assert.ok(sent <= SENT[role], `${sent} datagrams a second`)
+  assert.ok(sent <= DATAGRAMS_SENT[role], `${sent} datagrams a second`)
 }
 
-/** Ages of engines' reports at gateways, the greatest ones seen. */
+/** Samples the ages of engine reports on gateways, and keeps the greatest ones. */
 function watchAges (fleet: fleetTesting.TestFleet): { sample: () => void, near: () => number, far: () => number, farMean: () => number } {
   const agents = fleet.daemons.filter((daemon) => daemon.role === 'agent')
   const gateways = fleet.daemons.filter((daemon) => daemon.role === 'gateway')
@@ -91,22 +91,22 @@
   return { sample, near: () => greatest.near, far: () => greatest.far, farMean: () => Math.round(sum / Math.max(1, count)) }
 }
 
-nodeTest.test('what a daemon sends and takes in for heartbeats stays within its bound, however many members there are', async (context) => {
+nodeTest.test('the control traffic of a daemon stays within its bound, however many members there are', async (context) => {
   for (const plan of plans) {
     const members = plan.gateways + plan.agents
     await context.test(`${members} members`, async (part) => {
       const fleet = await fleetTesting.startFleet(part, plan)
-      fleet.pass(SETTLE_MS)
+      fleet.advance(SETTLE_MS)
       fleet.resetTraffic()
       const ages = watchAges(fleet)
-      fleet.pass(MEASURED_MS, (at) => { if (at % SAMPLE_MS === 0) ages.sample() })
+      fleet.advance(MEASURED_MS, (at) => { if (at % SAMPLE_MS === 0) ages.sample() })
       const idle = measure(fleet, 'idle')
       if (members > LARGE_MEMBERS) for (const role of ['gateway', 'agent'] as const) checkWakeUps(fleet, role, part)
       part.diagnostic(idle.text)
       part.diagnostic(`${members} members: reports at most ${ages.near()} ms old in the hall, ${ages.far()} ms of others (mean ${ages.farMean()} ms)`)
       fleet.resetTraffic()
       let revision = 0
-      fleet.pass(MEASURED_MS, (at) => {
+      fleet.advance(MEASURED_MS, (at) => {
         if (at % CHANGE_MS !== 0) return
         revision += 1
         for (const daemon of fleet.daemons) {
@@ -118,22 +118,22 @@
       const changing = measure(fleet, '3 changes a second')
       part.diagnostic(changing.text)
       if (members <= SITE_MEMBERS) assert.ok(ages.near() <= NEAR_AGE_MS && ages.far() <= FAR_AGE_MS, `reports ${ages.near()} and ${ages.far()} ms old`)
-      assert.ok(idle.worst <= BOUND, `${idle.worst} bytes a second of one daemon while idle`)
-      assert.ok(changing.worst <= BOUND, `${changing.worst} bytes a second of one daemon while copies change`)
+      assert.ok(idle.worst <= BYTES_PER_SECOND_LIMIT, `${idle.worst} bytes a second of one daemon while idle`)
+      assert.ok(changing.worst <= BYTES_PER_SECOND_LIMIT, `${changing.worst} bytes a second of one daemon while copies change`)
     })
   }
 })
 
-nodeTest.test('a change that few have told is not told by all, though copies that did not change are not equally far', async (context) => {
-  const fleet = await fleetTesting.startFleet(context, LATER)
+nodeTest.test('a change is announced by a few members only, also while their unchanged copies are at different positions', async (context) => {
+  const fleet = await fleetTesting.startFleet(context, THREE_HALLS)
   const gateways = fleet.daemons.filter((daemon) => daemon.role === 'gateway')
   const random = fleetTesting.createRandom()
-  fleet.pass(SETTLE_MS)
+  fleet.advance(SETTLE_MS)
   fleet.resetTraffic()
-  let takeovers: Array<{ readonly at: number, readonly gateway: fleetTesting.TestDaemon }> = []
-  fleet.pass(MEASURED_MS, (at) => {
-    if (at % SECOND_MS === 0) takeovers = gateways.map((gateway) => ({ gateway, at: at + 1 + Math.floor(random() * TAKEOVER_MS) }))
-    for (const { gateway } of takeovers.filter((each) => each.at === at)) {
+  let adoptions: Array<{ readonly at: number, readonly gateway: fleetTesting.TestDaemon }> = []
+  fleet.advance(MEASURED_MS, (at) => {
+    if (at % SECOND_MS === 0) adoptions = gateways.map((gateway) => ({ gateway, at: at + 1 + Math.floor(random() * ADOPTION_MS) }))
+    for (const { gateway } of adoptions.filter((each) => each.at === at)) {
       gateway.state.revision += 1
       gateway.state.watchedAt += Math.ceil(random() * SECOND_MS)
       gateway.gossip.sendNow()
--- a/packages/spread/src/index.ts
+++ b/packages/spread/src/index.ts
@@ -1,4 +1,4 @@
-/** What daemons tell each other: heartbeats, how far copies are, and changes of copies. */
+/** Communication between daemons: heartbeats, synchronization of store copies, and facts that all gateways learn. */
 export * from './createGossip/index.js'
 export * from './chooseWatchers/index.js'
 export * from './createCopySync/index.js'
--- a/packages/spread/src/openDatagrams/index.ts
+++ b/packages/spread/src/openDatagrams/index.ts
@@ -1,4 +1,4 @@
-/** Datagrams between daemons by UDP. */
+/** UDP datagrams between daemons. */
 import * as dgram from 'node:dgram'
 
 /** An open socket. */
@@ -7,7 +7,7 @@
   readonly close: () => void
 }
 
-/** Opens the one socket of a daemon and hears what others send it. */
+/** Opens the socket of a daemon and passes on each received datagram. */
 export type OpenDatagrams = (onDatagram: (bytes: Buffer, from: string) => void) => Promise<DatagramSocket>
 
 /**
@@ -15,7 +15,7 @@
  *
  * @param host - Own address.
  * @param port - Port of all daemons.
- * @returns Opens the socket; a datagram that can't be sent counts as lost.
+ * @returns A function that opens the socket; a datagram that cannot be sent counts as lost.
  */
 export function openDatagrams (host: string, port: number): OpenDatagrams {
   return async (onDatagram) => {
--- a/packages/spread/src/rankGateways/index.ts
+++ b/packages/spread/src/rankGateways/index.ts
@@ -1,8 +1,8 @@
-/** In which order the gateways of a hall take on work for all daemons of the hall. */
+/** The order in which the gateways of a hall take over tasks for the whole hall. */
 import * as membership from '@switchridge/membership'
 import type * as createGossip from '../createGossip/index.js'
 
-/** What the ranking goes by. */
+/** The fields that the ranking depends on. */
 export type RankedMember = Pick<createGossip.Heartbeat, 'node' | 'role' | 'zone' | 'isLeaving'>
 
 const rankings = new Map<string, ReturnType<typeof membership.createRendezvousRanking>>()
@@ -16,12 +16,12 @@
 }
 
 /**
- * Ranks the gateways of a hall; every daemon that knows the same gateways works out the same order, and a gateway that
- * comes or goes moves no other two.
+ * Ranks the gateways of a hall. Every daemon that knows the same gateways computes the same order, and the others keep their
+ * order when a gateway is added or removed.
  *
- * @param members - Daemons that are live, the own one included.
+ * @param members - Live daemons, this one included.
  * @param zone - The hall.
- * @returns Its gateways that stay, the first one first.
+ * @returns The gateways of the hall that are not leaving, the highest rank first.
  */
 export function rankGateways<Member extends RankedMember> (members: readonly Member[], zone: string): Member[] {
   const gateways = members.filter((member) => member.role === 'gateway' && member.zone === zone && !member.isLeaving)
