--- a/packages/spread/src/rankGateways/test.ts
+++ b/packages/spread/src/rankGateways/test.ts
@@ -8,7 +8,7 @@
   return { node: types.brandId(node), role: 'gateway', zone: 'hall-a', host: node, isLeaving: false, isStoreLost: false, copies: {}, versions: [], suspects: [], engine: null, ...change }
 }
 
-nodeTest.test('gateways of the hall that stay are ranked alike whatever order they were heard in', () => {
+nodeTest.test('gateways of the hall that are not leaving are ranked alike, whatever order they are listed in', () => {
   const members = ['a', 'b', 'c', 'd'].map((node) => describe(node))
   const others = [describe('e', { zone: 'hall-b' }), describe('f', { role: 'agent' }), describe('g', { isLeaving: true })]
   const ranked = rankGateways.rankGateways([...members, ...others], 'hall-a').map((each) => each.node)
