--- a/packages/routing/src/createAdmission/index.ts
+++ b/packages/routing/src/createAdmission/index.ts
@@ -58,10 +58,10 @@
   const waiting = createFairQueue.createFairQueue<Waiter>(queue)
   let limits = { limit, queue }
   let running = 0
-  let isLeaving = false
+  let isClosed = false
 
-  function enter (call: createFairQueue.QueuedCall): Admitted {
-    if (isLeaving) return refuse('leaving')
+  function admit (call: createFairQueue.QueuedCall): Admitted {
+    if (isClosed) return refuse('leaving')
     if (running < limits.limit) {
       running += 1
       return { slot: Promise.resolve(types.succeed(createRelease())), cancel: () => {} }
@@ -69,8 +69,8 @@
     let settle: Waiter['settle'] = () => {}
     const slot = new Promise<types.Outcome<() => void, NotRunError>>((resolve) => { settle = resolve })
     const waiter: Waiter = { settle }
-    const gone = waiting.push(waiter, call)
-    gone?.settle(types.fail(new NotRunError('full')))
+    const evicted = waiting.push(waiter, call)
+    evicted?.settle(types.fail(new NotRunError('full')))
     return { slot, cancel: (reason) => { if (waiting.remove(waiter)) settle(types.fail(new NotRunError(reason))) } }
   }
 
@@ -80,12 +80,12 @@
       if (isReleased) return
       isReleased = true
       running -= 1
-      startWaiting()
+      admitWaiting()
       if (running < limits.limit && waiting.size() === 0) onFree()
     }
   }
 
-  function startWaiting (): void {
+  function admitWaiting (): void {
     while (running < limits.limit) {
       const next = waiting.pop()
       if (next === undefined) return
@@ -94,19 +94,19 @@
     }
   }
 
-  function leave (): void {
-    isLeaving = true
+  function close (): void {
+    isClosed = true
     for (let next = waiting.pop(); next !== undefined; next = waiting.pop()) next.settle(types.fail(new NotRunError('leaving')))
   }
 
   return {
-    enter,
-    leave,
+    enter: admit,
+    leave: close,
     load: () => ({ running, waiting: waiting.size(), ...limits }),
     setLimits: (nextLimit, nextQueue) => {
       limits = { limit: nextLimit, queue: nextQueue }
       waiting.setCapacity(nextQueue)
-      startWaiting()
+      admitWaiting()
     }
   }
 }
--- a/packages/routing/src/createBackendHealth/index.ts
+++ b/packages/routing/src/createBackendHealth/index.ts
@@ -15,12 +15,12 @@
 
 interface Entry {
   failures: number
-  avoidedUntil: number
+  backoffUntil: number
 }
 
-const FAILURES_BEFORE_PAUSE = 2
-const PAUSE_BASE_MS = 500
-const PAUSE_MAXIMUM_MS = 15_000
+const FAILURES_BEFORE_BACKOFF = 2
+const BACKOFF_BASE_MS = 500
+const BACKOFF_MAXIMUM_MS = 15_000
 
 /**
  * Creates the health record; only servers that failed lately take room in it.
@@ -31,22 +31,22 @@
 export function createBackendHealth (now: () => number): BackendHealth {
   const entries = new Map<types.NodeId, Entry>()
 
-  function computePause (failures: number): number {
-    return Math.min(PAUSE_MAXIMUM_MS, PAUSE_BASE_MS * 2 ** Math.max(0, failures - FAILURES_BEFORE_PAUSE))
+  function computeBackoff (failures: number): number {
+    return Math.min(BACKOFF_MAXIMUM_MS, BACKOFF_BASE_MS * 2 ** Math.max(0, failures - FAILURES_BEFORE_BACKOFF))
   }
 
   return {
     noteSuccess: (node) => { entries.delete(node) },
     noteFailure: (node) => {
-      const entry = entries.get(node) ?? { failures: 0, avoidedUntil: 0 }
+      const entry = entries.get(node) ?? { failures: 0, backoffUntil: 0 }
       entry.failures += 1
-      if (entry.failures >= FAILURES_BEFORE_PAUSE) entry.avoidedUntil = now() + computePause(entry.failures)
+      if (entry.failures >= FAILURES_BEFORE_BACKOFF) entry.backoffUntil = now() + computeBackoff(entry.failures)
       entries.set(node, entry)
     },
-    isUsable: (node) => now() >= (entries.get(node)?.avoidedUntil ?? 0),
+    isUsable: (node) => now() >= (entries.get(node)?.backoffUntil ?? 0),
     noteAttempt: (node) => {
       const entry = entries.get(node)
-      if (entry !== undefined && entry.failures >= FAILURES_BEFORE_PAUSE) entry.avoidedUntil = now() + computePause(entry.failures)
+      if (entry !== undefined && entry.failures >= FAILURES_BEFORE_BACKOFF) entry.backoffUntil = now() + computeBackoff(entry.failures)
     },
     forget: (node) => { entries.delete(node) },
     size: () => entries.size
--- a/packages/routing/src/createBackendLoads/index.ts
+++ b/packages/routing/src/createBackendLoads/index.ts
@@ -26,8 +26,8 @@
 export interface BackendLoads {
   readonly noteSent: (node: types.NodeId) => void
   /** Notes the end of an attempt, with the load stated on its answer if there was one. */
-  readonly noteEnded: (node: types.NodeId, stated?: StatedLoad) => void
-  readonly noteStated: (node: types.NodeId, stated: StatedLoad) => void
+  readonly noteEnded: (node: types.NodeId, reported?: StatedLoad) => void
+  readonly noteStated: (node: types.NodeId, reported: StatedLoad) => void
   readonly readCandidate: (node: types.NodeId, limit: number, queue: number) => Candidate
   readonly outstanding: (node: types.NodeId) => number
   readonly forget: (node: types.NodeId) => void
@@ -35,8 +35,8 @@
 
 interface Entry {
   outstanding: number
-  stated: number
-  sentSince: number
+  reportedLoad: number
+  sentSinceReport: number
 }
 
 /**
@@ -47,38 +47,38 @@
 export function createBackendLoads (): BackendLoads {
   const entries = new Map<types.NodeId, Entry>()
 
-  function find (node: types.NodeId): Entry {
-    const known = entries.get(node)
-    if (known !== undefined) return known
-    const entry = { outstanding: 0, stated: 0, sentSince: 0 }
+  function findOrCreate (node: types.NodeId): Entry {
+    const existing = entries.get(node)
+    if (existing !== undefined) return existing
+    const entry = { outstanding: 0, reportedLoad: 0, sentSinceReport: 0 }
     entries.set(node, entry)
     return entry
   }
 
-  function noteStated (node: types.NodeId, stated: StatedLoad): void {
-    const entry = find(node)
-    entry.stated = stated.running + stated.waiting
-    entry.sentSince = 0
+  function noteReported (node: types.NodeId, reported: StatedLoad): void {
+    const entry = findOrCreate(node)
+    entry.reportedLoad = reported.running + reported.waiting
+    entry.sentSinceReport = 0
   }
 
   return {
-    noteStated,
+    noteStated: noteReported,
     noteSent: (node) => {
-      const entry = find(node)
+      const entry = findOrCreate(node)
       entry.outstanding += 1
-      entry.sentSince += 1
+      entry.sentSinceReport += 1
     },
-    noteEnded: (node, stated) => {
-      const entry = find(node)
+    noteEnded: (node, reported) => {
+      const entry = findOrCreate(node)
       entry.outstanding -= 1
-      if (stated !== undefined) noteStated(node, stated)
-      else entry.stated = Math.max(0, entry.stated - 1)
+      if (reported !== undefined) noteReported(node, reported)
+      else entry.reportedLoad = Math.max(0, entry.reportedLoad - 1)
     },
     readCandidate: (node, limit, queue) => {
-      const entry = find(node)
-      return { node, limit, queue, statedLoad: entry.stated, load: Math.max(entry.outstanding, entry.stated + entry.sentSince) }
+      const entry = findOrCreate(node)
+      return { node, limit, queue, statedLoad: entry.reportedLoad, load: Math.max(entry.outstanding, entry.reportedLoad + entry.sentSinceReport) }
     },
-    outstanding: (node) => find(node).outstanding,
+    outstanding: (node) => findOrCreate(node).outstanding,
     forget: (node) => { entries.delete(node) }
   }
 }
--- a/packages/routing/src/createFairQueue/index.ts
+++ b/packages/routing/src/createFairQueue/index.ts
@@ -22,7 +22,7 @@
   readonly setCapacity: (capacity: number) => void
 }
 
-interface Waiting<Item> {
+interface QueueEntry<Item> {
   readonly item: Item
   readonly call: QueuedCall
   /** Virtual time at which the call would end if its account had only its share. */
@@ -36,42 +36,42 @@
  * @returns The queue.
  */
 export function createFairQueue<Item> (capacity: number): FairQueue<Item> {
-  const waiting: Array<Waiting<Item>> = []
-  const lastFinish = new Map<types.AccountId, number>()
+  const waiting: Array<QueueEntry<Item>> = []
+  const lastFinishByAccount = new Map<types.AccountId, number>()
   let limit = capacity
   let virtualTime = 0
 
   function push (item: Item, call: QueuedCall): Item | undefined {
-    const start = Math.max(virtualTime, lastFinish.get(call.account) ?? 0)
+    const start = Math.max(virtualTime, lastFinishByAccount.get(call.account) ?? 0)
     const entry = { item, call, finish: start + 1 / call.share }
-    lastFinish.set(call.account, entry.finish)
+    lastFinishByAccount.set(call.account, entry.finish)
     insert(entry)
     if (waiting.length <= limit) return undefined
-    return takeBack()
+    return evictLast()
   }
 
-  function insert (entry: Waiting<Item>): void {
+  function insert (entry: QueueEntry<Item>): void {
     let low = 0
     let high = waiting.length
     while (low < high) {
       const middle = (low + high) >> 1
-      if (comesBefore(entry, waiting[middle] as Waiting<Item>)) high = middle
+      if (isServedBefore(entry, waiting[middle] as QueueEntry<Item>)) high = middle
       else low = middle + 1
     }
     waiting.splice(low, 0, entry)
   }
 
   /** Takes the least important item; its account gets back the time that it was charged. */
-  function takeBack (): Item | undefined {
+  function evictLast (): Item | undefined {
     const last = waiting.pop()
     if (last === undefined) return undefined
     refund(last)
     return last.item
   }
 
-  function refund (entry: Waiting<Item>): void {
-    const charged = lastFinish.get(entry.call.account) ?? 0
-    lastFinish.set(entry.call.account, charged - 1 / entry.call.share)
+  function refund (entry: QueueEntry<Item>): void {
+    const accountFinish = lastFinishByAccount.get(entry.call.account) ?? 0
+    lastFinishByAccount.set(entry.call.account, accountFinish - 1 / entry.call.share)
   }
 
   function pop (): Item | undefined {
@@ -83,7 +83,7 @@
   }
 
   function forgetIdleAccounts (): void {
-    for (const [account, finish] of lastFinish) if (finish <= virtualTime) lastFinish.delete(account)
+    for (const [account, finish] of lastFinishByAccount) if (finish <= virtualTime) lastFinishByAccount.delete(account)
   }
 
   function remove (item: Item): boolean {
@@ -98,7 +98,7 @@
   return { push, pop, remove, peek: () => waiting[0]?.item, size: () => waiting.length, setCapacity: (next) => { limit = next } }
 }
 
-function comesBefore<Item> (left: Waiting<Item>, right: Waiting<Item>): boolean {
+function isServedBefore<Item> (left: QueueEntry<Item>, right: QueueEntry<Item>): boolean {
   if (left.call.priority !== right.call.priority) return left.call.priority === 'interactive'
   return left.finish < right.finish
 }
--- a/packages/routing/src/createRetryBudget/index.ts
+++ b/packages/routing/src/createRetryBudget/index.ts
@@ -9,7 +9,7 @@
   readonly setRatio: (ratio: number) => void
 }
 
-const RESERVE = 5
+const RESERVE_ATTEMPTS = 5
 
 /**
  * Creates a budget.
@@ -18,15 +18,15 @@
  * @returns The budget, with a small reserve to begin with.
  */
 export function createRetryBudget (ratio: number): RetryBudget {
-  let earned = RESERVE * Math.min(1, ratio * 10)
-  let share = ratio
+  let balance = RESERVE_ATTEMPTS * Math.min(1, ratio * 10)
+  let currentRatio = ratio
   return {
-    earn: () => { earned = Math.min(earned + share, RESERVE + share * 100) },
+    earn: () => { balance = Math.min(balance + currentRatio, RESERVE_ATTEMPTS + currentRatio * 100) },
     trySpend: () => {
-      if (earned < 1) return false
-      earned -= 1
+      if (balance < 1) return false
+      balance -= 1
       return true
     },
-    setRatio: (next) => { share = next }
+    setRatio: (next) => { currentRatio = next }
   }
 }
--- a/packages/routing/src/createTickets/index.ts
+++ b/packages/routing/src/createTickets/index.ts
@@ -22,12 +22,12 @@
 /** Options of {@link createTickets}. */
 export interface TicketOptions {
   /** Milliseconds for which an ended ticket is remembered; longer than any delivery may be under way. */
-  readonly keepMs?: number
-  readonly maximum?: number
+  readonly retentionMs?: number
+  readonly maximumEnded?: number
 }
 
-const DEFAULT_KEEP_MS = 600_000
-const DEFAULT_MAXIMUM = 200_000
+const DEFAULT_RETENTION_MS = 600_000
+const DEFAULT_MAXIMUM_ENDED = 200_000
 
 /**
  * Creates the tickets of a daemon.
@@ -38,8 +38,8 @@
 export function createTickets (options: TicketOptions = {}): Tickets {
   const running = new Set<types.TicketId>()
   const ended = new lruCache.LRUCache<types.TicketId, 'ran' | 'not-run'>({
-    max: options.maximum ?? DEFAULT_MAXIMUM,
-    ttl: options.keepMs ?? DEFAULT_KEEP_MS
+    max: options.maximumEnded ?? DEFAULT_MAXIMUM_ENDED,
+    ttl: options.retentionMs ?? DEFAULT_RETENTION_MS
   })
 
   function end (ticket: types.TicketId, state: 'ran' | 'not-run'): void {
--- a/packages/routing/src/createTickets/test.ts
+++ b/packages/routing/src/createTickets/test.ts
@@ -32,7 +32,7 @@
   })
 
   test.it('forgets ended tickets beyond its bound, running ones never', () => {
-    const tickets = createTickets.createTickets({ maximum: 10 })
+    const tickets = createTickets.createTickets({ maximumEnded: 10 })
     tickets.open(TICKET)
     for (let index = 0; index < 100; index += 1) tickets.resolve(types.brandId<types.TicketId>(`other-${index}`))
     assert.equal(tickets.resolve(TICKET), 'running')
--- a/packages/routing/src/pickBackend/index.ts
+++ b/packages/routing/src/pickBackend/index.ts
@@ -26,19 +26,19 @@
 
 /** Takes the least loaded one that has a free slot or room in its short queue; else the call waits at the entry node. */
 export const pickLateBinding: PickBackend = (candidates, random, affinity) => {
-  const free = candidates.filter((candidate) => candidate.load < candidate.limit)
-  if (free.length > 0) return pickAffine(free, random, affinity)
-  const short = candidates.filter((candidate) => candidate.load < candidate.limit + candidate.queue)
-  return pickLeastLoaded(short, random, affinity)
+  const withFreeSlot = candidates.filter((candidate) => candidate.load < candidate.limit)
+  if (withFreeSlot.length > 0) return pickByAffinity(withFreeSlot, random, affinity)
+  const withQueueRoom = candidates.filter((candidate) => candidate.load < candidate.limit + candidate.queue)
+  return pickLeastLoaded(withQueueRoom, random, affinity)
 }
 
-const AFFINITY_BOUND = 1.25
+const AFFINITY_LOAD_FACTOR = 1.25
 
 /** Takes the candidate that rendezvous hashing names for the prefix, unless it has more than its bounded part of the load. */
-export const pickAffine: PickBackend = (candidates, random, affinity) => {
+export const pickByAffinity: PickBackend = (candidates, random, affinity) => {
   if (affinity === '') return pickLeastLoaded(candidates, random, affinity)
   const total = candidates.reduce((sum, candidate) => sum + candidate.load / candidate.limit, 0)
-  const bound = Math.max(AFFINITY_BOUND * total / candidates.length, 1 / (candidates[0]?.limit ?? 1))
+  const bound = Math.max(AFFINITY_LOAD_FACTOR * total / candidates.length, 1 / (candidates[0]?.limit ?? 1))
   const ranked = membership.rankByRendezvous(affinity, candidates, (candidate) => candidate.node)
   return ranked.find((candidate) => candidate.load / candidate.limit <= bound) ?? pickLeastLoaded(candidates, random, affinity)
 }
@@ -50,8 +50,8 @@
   for (const candidate of candidates) {
     const load = loadOf(candidate)
     ties = load === bestLoad ? ties + 1 : 1
-    const wins = load < bestLoad || (load === bestLoad && random() < 1 / ties)
-    if (!wins) continue
+    const isBetter = load < bestLoad || (load === bestLoad && random() < 1 / ties)
+    if (!isBetter) continue
     best = candidate
     bestLoad = load
   }
--- a/packages/routing/src/pickBackend/test.ts
+++ b/packages/routing/src/pickBackend/test.ts
@@ -3,22 +3,22 @@
 import * as types from '@switchridge/types'
 import * as routing from '../index.js'
 
-const candidateOf = (node: string, load: number): routing.Candidate => ({ node: types.brandId(node), load, statedLoad: load, limit: 4, queue: 1 })
-const noRandom = (): number => 0
+const createCandidate = (node: string, load: number): routing.Candidate => ({ node: types.brandId(node), load, statedLoad: load, limit: 4, queue: 1 })
+const alwaysZero = (): number => 0
 
 test.describe('pickBackend', () => {
   test.it('lets a call wait only when no slot and no place is left', () => {
-    assert.equal(routing.pickLateBinding([candidateOf('a', 4), candidateOf('b', 3)], noRandom, '')?.node, 'b')
-    assert.equal(routing.pickLateBinding([candidateOf('a', 4), candidateOf('b', 5)], noRandom, '')?.node, 'a')
-    assert.equal(routing.pickLateBinding([candidateOf('a', 5), candidateOf('b', 5)], noRandom, ''), null)
+    assert.equal(routing.pickLateBinding([createCandidate('a', 4), createCandidate('b', 3)], alwaysZero, '')?.node, 'b')
+    assert.equal(routing.pickLateBinding([createCandidate('a', 4), createCandidate('b', 5)], alwaysZero, '')?.node, 'a')
+    assert.equal(routing.pickLateBinding([createCandidate('a', 5), createCandidate('b', 5)], alwaysZero, ''), null)
   })
 
   test.it('keeps a prefix on one backend server until that one has more than its part', () => {
-    const idle = ['a', 'b', 'c'].map((node) => candidateOf(node, 0))
-    const home = routing.pickAffine(idle, noRandom, 'prefix')?.node
-    assert.equal(routing.pickAffine([...idle].reverse(), noRandom, 'prefix')?.node, home)
-    const loaded = idle.map((candidate) => candidate.node === home ? { ...candidate, load: 3 } : candidate)
-    assert.notEqual(routing.pickAffine(loaded, noRandom, 'prefix')?.node, home)
+    const idle = ['a', 'b', 'c'].map((node) => createCandidate(node, 0))
+    const preferred = routing.pickByAffinity(idle, alwaysZero, 'prefix')?.node
+    assert.equal(routing.pickByAffinity([...idle].reverse(), alwaysZero, 'prefix')?.node, preferred)
+    const loaded = idle.map((candidate) => candidate.node === preferred ? { ...candidate, load: 3 } : candidate)
+    assert.notEqual(routing.pickByAffinity(loaded, alwaysZero, 'prefix')?.node, preferred)
   })
 
   test.it('counts what was sent since the last word', () => {
--- a/packages/transfer/src/_lib/bitmap.ts
+++ b/packages/transfer/src/_lib/bitmap.ts
@@ -2,10 +2,10 @@
 
 export type Bitmap = Uint8Array
 
-const BITS = 8
+const BITS_PER_BYTE = 8
 
 export function createBitmap (size: number): Bitmap {
-  return new Uint8Array(Math.ceil(size / BITS))
+  return new Uint8Array(Math.ceil(size / BITS_PER_BYTE))
 }
 
 export function hasBit (bitmap: Bitmap, index: number): boolean {
@@ -29,7 +29,7 @@
 /** Decodes a bitmap for `size` chunks; null when the text has another length. */
 export function decodeBitmap (text: string, size: number): Bitmap | null {
   const bytes = Buffer.from(text, 'base64')
-  return bytes.length === Math.ceil(size / BITS) ? bytes : null
+  return bytes.length === Math.ceil(size / BITS_PER_BYTE) ? bytes : null
 }
 
 /** Counts the bits that are set; none for null. */
--- a/packages/transfer/src/chooseRequest/index.ts
+++ b/packages/transfer/src/chooseRequest/index.ts
@@ -18,12 +18,12 @@
   /** Number of known holders by chunk. */
   readonly holders: ArrayLike<number>
   /** Fixed random number of this node by chunk, from 0 to 1; it breaks ties differently on each node. */
-  readonly ties: ArrayLike<number>
-  readonly prefersRare: boolean
+  readonly tieBreakers: ArrayLike<number>
+  readonly rarestFirst: boolean
   /** Monotonic time in milliseconds. */
   readonly now: number
   /** Requests that may be open at one peer. */
-  readonly perPeer: number
+  readonly requestsPerPeer: number
   /** Milliseconds in which a peer works off one upload. */
   readonly uploadMs: number
   /** Random number from 0 to 1. */
@@ -46,17 +46,17 @@
  * @returns The request, or null while no known peer can give a wanted chunk.
  */
 export function chooseRequest (state: ChoiceState): ChunkRequest | null {
-  const able = state.peers
-    .filter((peer) => isAble(state, peer))
+  const candidates = state.peers
+    .filter((peer) => canRequestFrom(state, peer))
     .map((peer): LoadedPeer => ({ peer, load: estimateLoad(state, peer) }))
     .sort((left, right) => left.load - right.load)
-  for (let first = 0; first < able.length;) {
-    const limit = (able[first]?.load ?? 0) + LOAD_TOLERANCE
+  for (let first = 0; first < candidates.length;) {
+    const limit = (candidates[first]?.load ?? 0) + LOAD_TOLERANCE
     let end = first
-    while (end < able.length && (able[end]?.load ?? 0) <= limit) end += 1
-    const group = able.slice(first, end).map(({ peer }) => peer)
-    const chunk = chooseChunk(state, findAvailable(state, group))
-    const peer = chunk === null ? null : choosePeer(state, group, chunk)
+    while (end < candidates.length && (candidates[end]?.load ?? 0) <= limit) end += 1
+    const equallyLoaded = candidates.slice(first, end).map(({ peer }) => peer)
+    const chunk = chooseChunk(state, findAvailableChunks(state, equallyLoaded))
+    const peer = chunk === null ? null : choosePeer(state, equallyLoaded, chunk)
     if (chunk !== null && peer !== null) return { chunk, peer }
     first = end
   }
@@ -65,20 +65,20 @@
 
 /** Uploads that wait at a peer now: its last word, less what it has worked off since, and what this node asked for. */
 function estimateLoad (state: ChoiceState, peer: transfer.PeerState): number {
-  const workedOff = state.uploadMs > 0 ? (state.now - peer.backlogAt) / state.uploadMs : 0
-  return Math.max(0, peer.backlog - workedOff) + 2 * peer.outstanding + state.random() * LOAD_TOLERANCE
+  const completedSince = state.uploadMs > 0 ? (state.now - peer.backlogUpdatedAt) / state.uploadMs : 0
+  return Math.max(0, peer.backlog - completedSince) + 2 * peer.outstanding + state.random() * LOAD_TOLERANCE
 }
 
-function isAble (state: ChoiceState, peer: transfer.PeerState): boolean {
-  return peer.reach !== 'nothing' && peer.suspendedUntil <= state.now && peer.outstanding < state.perPeer
+function canRequestFrom (state: ChoiceState, peer: transfer.PeerState): boolean {
+  return peer.requestScope !== 'nothing' && peer.suspendedUntil <= state.now && peer.outstanding < state.requestsPerPeer
 }
 
 /** Wanted chunks that some able peer may be asked for. */
-function findAvailable (state: ChoiceState, able: readonly transfer.PeerState[]): bitmaps.Bitmap {
+function findAvailableChunks (state: ChoiceState, peers: readonly transfer.PeerState[]): bitmaps.Bitmap {
   const available = new Uint8Array(state.wanted.length)
-  for (const peer of able) {
+  for (const peer of peers) {
     for (let byte = 0; byte < available.length; byte += 1) {
-      const mask = peer.reach === 'everything' ? 0xff : state.imported[byte] ?? 0
+      const mask = peer.requestScope === 'everything' ? 0xff : state.imported[byte] ?? 0
       available[byte] = (available[byte] ?? 0) | ((peer.has[byte] ?? 0) & mask)
     }
   }
@@ -93,7 +93,7 @@
     if (available[byte] === 0) continue
     for (let chunk = byte * 8; chunk < byte * 8 + 8; chunk += 1) {
       if (!bitmaps.hasBit(available, chunk)) continue
-      const rank = (state.prefersRare ? state.holders[chunk] ?? 0 : 0) + (state.ties[chunk] ?? 0)
+      const rank = (state.rarestFirst ? state.holders[chunk] ?? 0 : 0) + (state.tieBreakers[chunk] ?? 0)
       if (rank >= bestRank) continue
       best = chunk
       bestRank = rank
@@ -103,7 +103,7 @@
 }
 
 /** Takes the first holder; the peers are in order of their load. */
-function choosePeer (state: ChoiceState, group: readonly transfer.PeerState[], chunk: number): transfer.PeerState | null {
+function choosePeer (state: ChoiceState, peers: readonly transfer.PeerState[], chunk: number): transfer.PeerState | null {
   const isImported = bitmaps.hasBit(state.imported, chunk)
-  return group.find((peer) => bitmaps.hasBit(peer.has, chunk) && (peer.reach === 'everything' || isImported)) ?? null
+  return peers.find((peer) => bitmaps.hasBit(peer.has, chunk) && (peer.requestScope === 'everything' || isImported)) ?? null
 }
--- a/packages/transfer/src/createChunkStore/index.ts
+++ b/packages/transfer/src/createChunkStore/index.ts
@@ -45,26 +45,26 @@
  */
 export function createChunkStore (memoryBytes: number): ChunkStore {
   const holdings = new Map<types.Digest, Holding>()
-  const shared = new Map<types.Digest, SharedChunk>()
-  let used = 0
+  const sharedChunks = new Map<types.Digest, SharedChunk>()
+  let usedBytes = 0
 
   function addReference (digest: types.Digest, bytes: Buffer): void {
-    const known = shared.get(digest)
-    if (known === undefined) {
-      shared.set(digest, { bytes, references: 1 })
-      used += bytes.length
+    const existing = sharedChunks.get(digest)
+    if (existing === undefined) {
+      sharedChunks.set(digest, { bytes, references: 1 })
+      usedBytes += bytes.length
     } else {
-      known.references += 1
+      existing.references += 1
     }
   }
 
   function removeReference (digest: types.Digest): void {
-    const known = shared.get(digest)
-    if (known === undefined) return
-    known.references -= 1
-    if (known.references > 0) return
-    shared.delete(digest)
-    used -= known.bytes.length
+    const existing = sharedChunks.get(digest)
+    if (existing === undefined) return
+    existing.references -= 1
+    if (existing.references > 0) return
+    sharedChunks.delete(digest)
+    usedBytes -= existing.bytes.length
   }
 
   function createHolding (digest: types.Digest, manifest: transfer.Manifest): Holding {
@@ -72,15 +72,15 @@
     let count = 0
     const digestOf = (chunk: number): types.Digest => manifest.chunks[chunk] as types.Digest
 
-    function keep (chunk: number, bytes: Buffer): void {
+    function addChunk (chunk: number, bytes: Buffer): void {
       addReference(digestOf(chunk), bytes)
       bitmaps.setBit(bitmap, chunk)
       count += 1
     }
 
     manifest.chunks.forEach((chunkDigest, chunk) => {
-      const known = shared.get(chunkDigest)
-      if (known !== undefined) keep(chunk, known.bytes)
+      const existing = sharedChunks.get(chunkDigest)
+      if (existing !== undefined) addChunk(chunk, existing.bytes)
     })
 
     return {
@@ -90,13 +90,13 @@
       count: () => count,
       isComplete: () => count === manifest.chunks.length,
       has: (chunk) => bitmaps.hasBit(bitmap, chunk),
-      get: (chunk) => bitmaps.hasBit(bitmap, chunk) ? shared.get(digestOf(chunk))?.bytes : undefined,
+      get: (chunk) => bitmaps.hasBit(bitmap, chunk) ? sharedChunks.get(digestOf(chunk))?.bytes : undefined,
       put: (chunk, bytes) => {
         if (bitmaps.hasBit(bitmap, chunk)) return types.succeed(null)
         if (createManifest.computeDigest(bytes) !== digestOf(chunk)) {
           return types.fail(new types.DigestMismatchError(`chunk ${chunk} of ${digest} does not match its digest`))
         }
-        keep(chunk, shared.get(digestOf(chunk))?.bytes ?? bytes)
+        addChunk(chunk, sharedChunks.get(digestOf(chunk))?.bytes ?? bytes)
         return types.succeed(null)
       },
       missing: () => manifest.chunks.map((_, chunk) => chunk).filter((chunk) => !bitmaps.hasBit(bitmap, chunk))
@@ -104,7 +104,7 @@
   }
 
   /** What all open versions need when complete, each shared chunk counted once. */
-  function neededBytes (manifest: transfer.Manifest): number {
+  function computeRequiredBytes (manifest: transfer.Manifest): number {
     const sizes = new Map<types.Digest, number>()
     for (const each of [...holdings.values()].map((holding) => holding.manifest).concat(manifest)) {
       for (const chunkDigest of each.chunks) sizes.set(chunkDigest, each.chunkBytes)
@@ -114,10 +114,10 @@
 
   return {
     open: (digest, manifest) => {
-      const known = holdings.get(digest)
-      if (known !== undefined) return types.succeed(known)
-      const needed = neededBytes(manifest)
-      if (needed > memoryBytes + manifest.chunkBytes) return types.fail(new StoreFullError(`${needed} bytes of chunks needed, chunk_memory_bytes is ${memoryBytes}`))
+      const existing = holdings.get(digest)
+      if (existing !== undefined) return types.succeed(existing)
+      const requiredBytes = computeRequiredBytes(manifest)
+      if (requiredBytes > memoryBytes + manifest.chunkBytes) return types.fail(new StoreFullError(`${requiredBytes} bytes of chunks needed, chunk_memory_bytes is ${memoryBytes}`))
       const holding = createHolding(digest, manifest)
       holdings.set(digest, holding)
       return types.succeed(holding)
@@ -130,6 +130,6 @@
       holding.manifest.chunks.forEach((chunkDigest, chunk) => { if (holding.has(chunk)) removeReference(chunkDigest) })
     },
     digests: () => [...holdings.keys()],
-    usedBytes: () => used
+    usedBytes: () => usedBytes
   }
 }
--- a/packages/transfer/src/createChunkStore/test.ts
+++ b/packages/transfer/src/createChunkStore/test.ts
@@ -3,34 +3,34 @@
 import * as transfer from '../index.js'
 
 const CHUNK_BYTES = 4
-const bytesOf = (text: string): Buffer => Buffer.from(text)
+const toBytes = (text: string): Buffer => Buffer.from(text)
 
-async function describeBytes (text: string) {
-  const manifest = await transfer.createManifest([bytesOf(text)], CHUNK_BYTES)
+async function createVersion (text: string) {
+  const manifest = await transfer.createManifest([toBytes(text)], CHUNK_BYTES)
   return { manifest, digest: transfer.computeDigest(transfer.formatManifest(manifest)) }
 }
 
 test.describe('createChunkStore', () => {
   test.it('drops bytes that do not match and completes with those that do', async () => {
-    const { manifest, digest } = await describeBytes('aaaabbbbcc')
+    const { manifest, digest } = await createVersion('aaaabbbbcc')
     const store = transfer.createChunkStore(100)
     const opened = store.open(digest, manifest)
     assert.ok(opened.ok)
-    assert.ok(!opened.value.put(1, bytesOf('aaaa')).ok)
+    assert.ok(!opened.value.put(1, toBytes('aaaa')).ok)
     assert.equal(opened.value.has(1), false)
-    for (const [chunk, text] of ['aaaa', 'bbbb', 'cc'].entries()) assert.ok(opened.value.put(chunk, bytesOf(text)).ok)
+    for (const [chunk, text] of ['aaaa', 'bbbb', 'cc'].entries()) assert.ok(opened.value.put(chunk, toBytes(text)).ok)
     assert.equal(opened.value.isComplete(), true)
     assert.equal(store.usedBytes(), 10)
   })
 
   test.it('takes over shared chunks and frees them with their last version', async () => {
-    const first = await describeBytes('aaaabbbb')
-    const second = await describeBytes('bbbbcccc')
+    const first = await createVersion('aaaabbbb')
+    const second = await createVersion('bbbbcccc')
     const store = transfer.createChunkStore(100)
     const opened = store.open(first.digest, first.manifest)
     assert.ok(opened.ok)
-    opened.value.put(0, bytesOf('aaaa'))
-    opened.value.put(1, bytesOf('bbbb'))
+    opened.value.put(0, toBytes('aaaa'))
+    opened.value.put(1, toBytes('bbbb'))
     const next = store.open(second.digest, second.manifest)
     assert.ok(next.ok)
     assert.deepEqual(next.value.missing(), [1])
@@ -42,14 +42,14 @@
   })
 
   test.it('refuses a version that its memory cannot hold', async () => {
-    const { manifest, digest } = await describeBytes('aaaabbbbccccdddd')
+    const { manifest, digest } = await createVersion('aaaabbbbccccdddd')
     const outcome = transfer.createChunkStore(8).open(digest, manifest)
     assert.ok(!outcome.ok && outcome.error instanceof transfer.StoreFullError)
   })
 
   test.it('takes a manifest only under the digest that pins it', async () => {
-    const { manifest, digest } = await describeBytes('aaaabbbb')
-    const other = await describeBytes('aaaacccc')
+    const { manifest, digest } = await createVersion('aaaabbbb')
+    const other = await createVersion('aaaacccc')
     assert.ok(transfer.parseManifest(transfer.formatManifest(manifest), digest).ok)
     assert.ok(!transfer.parseManifest(transfer.formatManifest(other.manifest), digest).ok)
   })
--- a/packages/transfer/src/createDownload/index.ts
+++ b/packages/transfer/src/createDownload/index.ts
@@ -4,7 +4,7 @@
 import * as chooseRequest from '../chooseRequest/index.js'
 import type * as createChunkStore from '../createChunkStore/index.js'
 import type * as createLinkPacer from '../createLinkPacer/index.js'
-import * as createPeerBook from '../createPeerBook/index.js'
+import * as createPeerRegistry from '../createPeerRegistry/index.js'
 import * as fetchChunk from '../fetchChunk/index.js'
 import * as parseManifest from '../parseManifest/index.js'
 import type * as transfer from '../types/index.js'
@@ -25,7 +25,7 @@
   readonly source: string
   readonly requests: DownloadRequests
   readonly downlink: createLinkPacer.LinkPacer
-  readonly perPeer: number
+  readonly requestsPerPeer: number
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
   /** Random number from 0 to 1. */
@@ -80,7 +80,7 @@
   /** A few nodes known to hold a chunk. */
   readonly findHolders: (chunk: number) => readonly types.NodeId[]
   /** Answers another node that asks what became of a chunk. */
-  readonly answerProvider: (chunk: number, successor: types.NodeId | null) => transfer.ProviderAnswer
+  readonly answerProviderQuery: (chunk: number, successor: types.NodeId | null) => transfer.ProviderAnswer
   readonly stop: () => void
 }
 
@@ -90,19 +90,19 @@
 const ORIGIN_TIMEOUT_MS = 30_000
 /** A request that takes this many times as long as others is made a second time elsewhere. */
 const HEDGE_FACTOR = 3
-const HEDGE_MINIMUM_MS = 1000
+const MINIMUM_HEDGE_MS = 1000
 const TIMEOUT_FACTOR = 8
-const AVERAGE_WEIGHT = 0.2
+const AVERAGE_SAMPLE_WEIGHT = 0.2
 const ORIGIN_SUSPEND_BASE_MS = 500
 const ORIGIN_SUSPEND_MAXIMUM_MS = 30_000
-const ASK_AGAIN_MS = 1500
+const PROVIDER_QUERY_INTERVAL_MS = 1500
 /** A chunk that was given up to one node is not given to another one before this time. */
-const RELEASE_HOLD_MS = 10_000
+const RELEASE_RESERVATION_MS = 10_000
 /** Importers asked at a time by a node that has nothing else to do. */
-const ASKED_WHEN_IDLE = 4
-const REFUSED_PAUSE_MS = 15
-const ORIGIN_OPEN_REQUESTS = 2
-const OVERDUE_BATCH = 32
+const IMPORTER_QUERIES_WHEN_IDLE = 4
+const REFUSAL_BACKOFF_MS = 15
+const MAXIMUM_ORIGIN_REQUESTS = 2
+const OVERDUE_CHUNKS_PER_CHECK = 32
 
 interface Release {
   readonly to: types.NodeId
@@ -118,25 +118,25 @@
 export function createDownload (options: DownloadOptions): Download {
   const { holding, requests, now } = options
   const { digest, manifest } = holding
-  const size = manifest.chunks.length
+  const chunkCount = manifest.chunks.length
   const counts: DownloadCounts = { originBytes: 0, peerBytes: 0, otherHallBytes: 0, requests: 0, refused: 0, corrupt: 0, failed: 0, hedged: 0, announcements: 0 }
-  const book = createPeerBook.createPeerBook(size, options.random)
-  const ties = Float64Array.from({ length: size }, options.random)
-  const wanted = bitmaps.createBitmap(size)
+  const peers = createPeerRegistry.createPeerRegistry(chunkCount, options.random)
+  const tieBreakers = Float64Array.from({ length: chunkCount }, options.random)
+  const wanted = bitmaps.createBitmap(chunkCount)
   for (const chunk of holding.missing()) bitmaps.setBit(wanted, chunk)
-  let imported = bitmaps.createBitmap(size)
-  const partial = new Map<number, Buffer>()
-  const asked = new Map<number, number>()
-  const askedPeersAt = new Map<number, number>()
+  let imported = bitmaps.createBitmap(chunkCount)
+  const partialChunks = new Map<number, Buffer>()
+  const nextProviderQueryAt = new Map<number, number>()
+  const requestStartedAt = new Map<number, number>()
   const hedged = new Set<number>()
   /** Chunks that this node gave up to the next one in order. */
   const released = new Map<number, Release>()
   const abort = new AbortController()
   let policy: transfer.TransferPolicy | null = null
   let originChunks: number[] = []
-  let nextSlot = 0
-  let originOpen = 0
-  let peersOpen = 0
+  let nextOriginChunk = 0
+  let openOriginRequests = 0
+  let openPeerRequests = 0
   let originFailures = 0
   let originSuspendedUntil = 0
   let averageMs = 0
@@ -144,87 +144,87 @@
 
   function setPolicy (next: transfer.TransferPolicy, members: readonly transfer.Peer[]): void {
     policy = next
-    nextSlot = 0
+    nextOriginChunk = 0
     originChunks = []
-    book.setPeers(members, next.reach)
-    imported = bitmaps.createBitmap(size)
-    for (let chunk = 0; chunk < size; chunk += 1) if (next.isImporter(chunk)) bitmaps.setBit(imported, chunk)
+    peers.setPeers(members, next.requestScopeOf)
+    imported = bitmaps.createBitmap(chunkCount)
+    for (let chunk = 0; chunk < chunkCount; chunk += 1) if (next.isImporter(chunk)) bitmaps.setBit(imported, chunk)
   }
 
-  const openRequests = (): number => peersOpen + originOpen
+  const openRequests = (): number => openPeerRequests + openOriginRequests
 
   function startRequest (): boolean {
     if (policy === null || abort.signal.aborted) return false
     const originChunk = chooseOriginChunk(policy)
     if (originChunk !== null) {
-      void readOrigin(originChunk)
+      void readFromOrigin(originChunk)
       return true
     }
     const choice = chooseRequest.chooseRequest({
-      wanted, imported, peers: book.list(), holders: book.holders, ties, prefersRare: policy.prefersRare, now: now(), perPeer: options.perPeer, uploadMs, random: options.random
+      wanted, imported, peers: peers.list(), holders: peers.holders, tieBreakers, rarestFirst: policy.prefersRare, now: now(), requestsPerPeer: options.requestsPerPeer, uploadMs, random: options.random
     })
     if (choice === null) return false
-    void askPeer(choice.chunk, choice.peer)
+    void requestFromPeer(choice.chunk, choice.peer)
     return true
   }
 
   function chooseOriginChunk (current: transfer.TransferPolicy): number | null {
-    while (nextSlot < size && current.slotAt(nextSlot) <= now()) {
-      if (!holding.has(nextSlot) && current.readsOrigin(nextSlot)) originChunks.push(nextSlot)
-      nextSlot += 1
+    while (nextOriginChunk < chunkCount && current.originReadAt(nextOriginChunk) <= now()) {
+      if (!holding.has(nextOriginChunk) && current.readsOrigin(nextOriginChunk)) originChunks.push(nextOriginChunk)
+      nextOriginChunk += 1
     }
-    if (originOpen >= ORIGIN_OPEN_REQUESTS || now() < originSuspendedUntil) return null
+    if (openOriginRequests >= MAXIMUM_ORIGIN_REQUESTS || now() < originSuspendedUntil) return null
     originChunks = originChunks.filter((chunk) => !holding.has(chunk) && current.readsOrigin(chunk))
     return originChunks.find((chunk) => bitmaps.hasBit(wanted, chunk) && !isAvailable(chunk)) ?? null
   }
 
   function isAvailable (chunk: number): boolean {
-    return book.isAvailable(chunk, bitmaps.hasBit(imported, chunk), now())
+    return peers.isAvailable(chunk, bitmaps.hasBit(imported, chunk), now())
   }
 
-  async function askPeer (chunk: number, peer: transfer.PeerState): Promise<void> {
+  async function requestFromPeer (chunk: number, peer: transfer.PeerState): Promise<void> {
     bitmaps.clearBit(wanted, chunk)
     peer.outstanding += 1
-    peersOpen += 1
+    openPeerRequests += 1
     counts.requests += 1
     const startedAt = now()
-    askedPeersAt.set(chunk, startedAt)
+    requestStartedAt.set(chunk, startedAt)
     const answer = await requests.fetchChunk(peer, digest, chunk, bitmaps.encodeBitmap(holding.bitmap), computeTimeout(), abort.signal)
     peer.outstanding -= 1
-    await settle(chunk, peer, answer, now() - startedAt)
-    peersOpen -= 1
-    if (askedPeersAt.get(chunk) === startedAt) askedPeersAt.delete(chunk)
+    await handlePeerAnswer(chunk, peer, answer, now() - startedAt)
+    openPeerRequests -= 1
+    if (requestStartedAt.get(chunk) === startedAt) requestStartedAt.delete(chunk)
     if (!holding.has(chunk)) bitmaps.setBit(wanted, chunk)
     options.onProgress()
   }
 
-  async function settle (chunk: number, peer: transfer.PeerState, answer: fetchChunk.ChunkAnswer, elapsedMs: number): Promise<void> {
+  async function handlePeerAnswer (chunk: number, peer: transfer.PeerState, answer: fetchChunk.ChunkAnswer, elapsedMs: number): Promise<void> {
     if (abort.signal.aborted) return
-    book.noteHave(peer.node, answer.statement.have)
-    peer.backlog = answer.statement.backlog
-    peer.backlogAt = now()
+    peers.noteHave(peer.node, answer.report.have)
+    peer.backlog = answer.report.backlog
+    peer.backlogUpdatedAt = now()
     if (answer.outcome.ok) {
-      averageMs = average(averageMs, elapsedMs)
-      uploadMs = average(uploadMs, elapsedMs / (answer.statement.backlog + 1))
-      await receive(chunk, answer.outcome.value, peer)
+      averageMs = updateAverage(averageMs, elapsedMs)
+      uploadMs = updateAverage(uploadMs, elapsedMs / (answer.report.backlog + 1))
+      await storePeerChunk(chunk, answer.outcome.value, peer)
     } else if (answer.outcome.error instanceof fetchChunk.ChunkRefusedError) {
       counts.refused += 1
-      peer.suspendedUntil = now() + REFUSED_PAUSE_MS
-      for (const node of answer.statement.holders) book.noteHolder(node, chunk)
+      peer.suspendedUntil = now() + REFUSAL_BACKOFF_MS
+      for (const node of answer.report.holders) peers.noteHolder(node, chunk)
       options.onRefused()
     } else {
       counts.failed += 1
-      book.suspend(peer, now())
+      peers.suspend(peer, now())
       options.onEvent({ event: 'peer-failed', digest, chunk, from: peer.node, reason: answer.outcome.error.message })
     }
   }
 
-  async function receive (chunk: number, bytes: Buffer, peer: transfer.PeerState): Promise<void> {
+  async function storePeerChunk (chunk: number, bytes: Buffer, peer: transfer.PeerState): Promise<void> {
     counts.peerBytes += bytes.length
-    if (peer.reach === 'imported') counts.otherHallBytes += bytes.length
-    await options.downlink.receive(bytes.length)
-    const kept = holding.put(chunk, bytes)
-    if (kept.ok) {
+    if (peer.requestScope === 'imported') counts.otherHallBytes += bytes.length
+    await options.downlink.waitToReceive(bytes.length)
+    const stored = holding.put(chunk, bytes)
+    if (stored.ok) {
       peer.failures = 0
       bitmaps.clearBit(wanted, chunk)
       options.onReceived()
@@ -232,8 +232,8 @@
       return
     }
     counts.corrupt += 1
-    book.suspend(peer, now())
-    options.onEvent({ event: 'chunk-corrupt', digest, chunk, from: peer.node, reason: kept.error.message })
+    peers.suspend(peer, now())
+    options.onEvent({ event: 'chunk-corrupt', digest, chunk, from: peer.node, reason: stored.error.message })
   }
 
   /** A peer is slow when it takes several times as long as peers do on average. */
@@ -242,39 +242,39 @@
     return Math.min(MAXIMUM_TIMEOUT_MS, Math.max(MINIMUM_TIMEOUT_MS, TIMEOUT_FACTOR * averageMs))
   }
 
-  async function readOrigin (chunk: number): Promise<void> {
+  async function readFromOrigin (chunk: number): Promise<void> {
     bitmaps.clearBit(wanted, chunk)
-    originOpen += 1
-    const before = partial.get(chunk) ?? Buffer.alloc(0)
+    openOriginRequests += 1
+    const earlierBytes = partialChunks.get(chunk) ?? Buffer.alloc(0)
     const length = parseManifest.computeChunkBytes(manifest, chunk)
-    const from = chunk * manifest.chunkBytes + before.length
-    const answer = await requests.fetchOrigin(options.source, from, length - before.length, ORIGIN_TIMEOUT_MS, abort.signal)
+    const from = chunk * manifest.chunkBytes + earlierBytes.length
+    const answer = await requests.fetchOrigin(options.source, from, length - earlierBytes.length, ORIGIN_TIMEOUT_MS, abort.signal)
     counts.originBytes += answer.bytes.length
-    await options.downlink.receive(answer.bytes.length)
-    originOpen -= 1
+    await options.downlink.waitToReceive(answer.bytes.length)
+    openOriginRequests -= 1
     if (abort.signal.aborted) return
-    const bytes = Buffer.concat([before, answer.bytes])
-    if (answer.error === undefined) keepFromOrigin(chunk, bytes)
-    else keepPartial(chunk, bytes, answer.error)
+    const bytes = Buffer.concat([earlierBytes, answer.bytes])
+    if (answer.error === undefined) storeOriginChunk(chunk, bytes)
+    else storePartialChunk(chunk, bytes, answer.error)
     if (!holding.has(chunk)) bitmaps.setBit(wanted, chunk)
     options.onProgress()
   }
 
-  function keepFromOrigin (chunk: number, bytes: Buffer): void {
-    partial.delete(chunk)
-    const kept = holding.put(chunk, bytes)
-    if (kept.ok) {
+  function storeOriginChunk (chunk: number, bytes: Buffer): void {
+    partialChunks.delete(chunk)
+    const stored = holding.put(chunk, bytes)
+    if (stored.ok) {
       originFailures = 0
       announce(chunk)
       return
     }
     counts.corrupt += 1
     suspendOrigin()
-    options.onEvent({ event: 'origin-corrupt', digest, chunk, from: options.source, reason: kept.error.message })
+    options.onEvent({ event: 'origin-corrupt', digest, chunk, from: options.source, reason: stored.error.message })
   }
 
-  function keepPartial (chunk: number, bytes: Buffer, error: types.UnavailableError): void {
-    partial.set(chunk, bytes)
+  function storePartialChunk (chunk: number, bytes: Buffer, error: types.UnavailableError): void {
+    partialChunks.set(chunk, bytes)
     suspendOrigin()
     options.onEvent({ event: 'origin-failed', digest, chunk, from: options.source, reason: error.message })
   }
@@ -287,8 +287,8 @@
 
   function announce (chunk: number): void {
     const have = bitmaps.encodeBitmap(holding.bitmap)
-    for (const node of policy?.announceTo(chunk) ?? []) {
-      const peer = book.find(node)
+    for (const node of policy?.findAnnounceTargets(chunk) ?? []) {
+      const peer = peers.find(node)
       if (peer === undefined || bitmaps.hasBit(peer.has, chunk)) continue
       counts.announcements += 1
       requests.announce(peer, digest, have)
@@ -298,8 +298,8 @@
   /** At the end, wants the last chunks once more from elsewhere if their requests take far longer than others did. */
   function hedgeSlowRequests (): void {
     if (bitmaps.countBits(wanted) > 0) return
-    const limit = now() - Math.max(HEDGE_MINIMUM_MS, HEDGE_FACTOR * averageMs)
-    for (const [chunk, startedAt] of askedPeersAt) {
+    const limit = now() - Math.max(MINIMUM_HEDGE_MS, HEDGE_FACTOR * averageMs)
+    for (const [chunk, startedAt] of requestStartedAt) {
       if (startedAt > limit || hedged.has(chunk)) continue
       hedged.add(chunk)
       bitmaps.setBit(wanted, chunk)
@@ -311,34 +311,34 @@
     if (policy === null) return
     hedgeSlowRequests()
     let checked = 0
-    for (let chunk = 0; chunk < size && checked < OVERDUE_BATCH && policy.slotAt(chunk) <= now(); chunk += 1) {
-      if (!bitmaps.hasBit(wanted, chunk) || (asked.get(chunk) ?? 0) > now() || isAvailable(chunk)) continue
+    for (let chunk = 0; chunk < chunkCount && checked < OVERDUE_CHUNKS_PER_CHECK && policy.originReadAt(chunk) <= now(); chunk += 1) {
+      if (!bitmaps.hasBit(wanted, chunk) || (nextProviderQueryAt.get(chunk) ?? 0) > now() || isAvailable(chunk)) continue
       checked += 1
-      const provider = policy.overdueFrom(chunk, now())
-      if (provider !== null) void askAbout(policy, chunk, provider)
-      else if (openRequests() === 0 && checked <= ASKED_WHEN_IDLE) void askImporter(policy, chunk)
+      const provider = policy.findOverdueProvider(chunk, now())
+      if (provider !== null) void queryOverdueProvider(policy, chunk, provider)
+      else if (openRequests() === 0 && checked <= IMPORTER_QUERIES_WHEN_IDLE) void queryImporter(policy, chunk)
     }
   }
 
   /** A node that has nothing to ask for may have missed who holds its last chunks; their importers know. */
-  async function askImporter (current: transfer.TransferPolicy, chunk: number): Promise<void> {
-    const importer = current.importerOf(chunk)
-    const peer = importer === null ? undefined : book.find(importer)
+  async function queryImporter (current: transfer.TransferPolicy, chunk: number): Promise<void> {
+    const importer = current.findImporter(chunk)
+    const peer = importer === null ? undefined : peers.find(importer)
     if (peer === undefined) return
-    asked.set(chunk, now() + ASK_AGAIN_MS)
+    nextProviderQueryAt.set(chunk, now() + PROVIDER_QUERY_INTERVAL_MS)
     const answer = await requests.askProvider(peer, digest, chunk, false)
     if (answer !== 'has') return
-    book.noteHolder(peer.node, chunk)
+    peers.noteHolder(peer.node, chunk)
     options.onProgress()
   }
 
-  async function askAbout (current: transfer.TransferPolicy, chunk: number, provider: types.NodeId): Promise<void> {
-    asked.set(chunk, now() + ASK_AGAIN_MS)
-    const peer = book.find(provider)
+  async function queryOverdueProvider (current: transfer.TransferPolicy, chunk: number, provider: types.NodeId): Promise<void> {
+    nextProviderQueryAt.set(chunk, now() + PROVIDER_QUERY_INTERVAL_MS)
+    const peer = peers.find(provider)
     const answer = peer === undefined ? 'unreachable' : await requests.askProvider(peer, digest, chunk, true)
     if (answer === 'reading' || holding.has(chunk)) return
     if (answer === 'has' && peer !== undefined) {
-      book.noteHolder(provider, chunk)
+      peers.noteHolder(provider, chunk)
     } else if (current.takeOver(chunk, provider)) {
       originChunks.push(chunk)
       released.delete(chunk)
@@ -349,23 +349,23 @@
   }
 
   /** Only a reader whose origin fails gives a chunk up; any other node is still about to get it. */
-  function answerProvider (chunk: number, successor: types.NodeId | null): transfer.ProviderAnswer {
+  function answerProviderQuery (chunk: number, successor: types.NodeId | null): transfer.ProviderAnswer {
     if (holding.has(chunk)) return 'has'
     if (successor === null) return 'reading'
-    const earlier = released.get(chunk)
-    const isHeld = earlier !== undefined && earlier.to !== successor && now() - earlier.at < RELEASE_HOLD_MS
-    if (isHeld) return 'reading'
+    const earlierRelease = released.get(chunk)
+    const isReservedForOther = earlierRelease !== undefined && earlierRelease.to !== successor && now() - earlierRelease.at < RELEASE_RESERVATION_MS
+    if (isReservedForOther) return 'reading'
     const isOriginDown = originFailures > 0 && now() < originSuspendedUntil
-    const mayRelease = earlier !== undefined || (policy?.readsOrigin(chunk) === true && isOriginDown)
+    const mayRelease = earlierRelease !== undefined || (policy?.readsOrigin(chunk) === true && isOriginDown)
     if (!mayRelease) return 'reading'
     policy?.release(chunk)
     released.set(chunk, { to: successor, at: now() })
     return 'released'
   }
 
-  return { digest, holding, counts, openRequests, setPolicy, startRequest, checkOverdue, noteHave: book.noteHave, noteHolder: book.noteHolder, findHolders: book.findHolders, answerProvider, stop: () => { abort.abort() } }
+  return { digest, holding, counts, openRequests, setPolicy, startRequest, checkOverdue, noteHave: peers.noteHave, noteHolder: peers.noteHolder, findHolders: peers.findHolders, answerProviderQuery, stop: () => { abort.abort() } }
 }
 
-function average (before: number, sample: number): number {
-  return before === 0 ? sample : before + AVERAGE_WEIGHT * (sample - before)
+function updateAverage (previous: number, sample: number): number {
+  return previous === 0 ? sample : previous + AVERAGE_SAMPLE_WEIGHT * (sample - previous)
 }
--- a/packages/transfer/src/createLinkPacer/index.ts
+++ b/packages/transfer/src/createLinkPacer/index.ts
@@ -9,7 +9,7 @@
    * Waits until bytes that have come over another link could have passed this one too. Bytes pass both
    * links at once, so a link that was idle adds nothing.
    */
-  readonly receive: (bytes: number) => Promise<void>
+  readonly waitToReceive: (bytes: number) => Promise<void>
   /** Counts bytes of calls at once; weights that wait get later by as much. */
   readonly spend: (bytes: number) => void
   /** Milliseconds of traffic that waits now. */
@@ -17,8 +17,8 @@
 }
 
 /** Credit in milliseconds that an idle link keeps, so that late timers cost no throughput. */
-const CREDIT_MS = 25
-const MILLISECONDS = 1000
+const MAXIMUM_CREDIT_MS = 25
+const MILLISECONDS_PER_SECOND = 1000
 
 /**
  * Creates a pacer: a queue with a virtual clock.
@@ -32,7 +32,7 @@
 
   function reserve (bytes: number, creditMs: number): number {
     const start = Math.max(freeAt, now() - creditMs)
-    freeAt = start + bytes * MILLISECONDS / bytesPerSecond
+    freeAt = start + bytes * MILLISECONDS_PER_SECOND / bytesPerSecond
     return freeAt
   }
 
@@ -40,11 +40,11 @@
     for (let waitMs = due - now(); waitMs > 0; waitMs = due - now()) await types.delay(Math.ceil(waitMs))
   }
 
-  if (bytesPerSecond === 0) return { take: async () => {}, receive: async () => {}, spend: () => {}, backlogMs: () => 0 }
+  if (bytesPerSecond === 0) return { take: async () => {}, waitToReceive: async () => {}, spend: () => {}, backlogMs: () => 0 }
   return {
-    take: async (bytes) => { await waitUntil(reserve(bytes, CREDIT_MS)) },
-    receive: async (bytes) => { await waitUntil(reserve(bytes, CREDIT_MS + bytes * MILLISECONDS / bytesPerSecond)) },
-    spend: (bytes) => { reserve(bytes, CREDIT_MS) },
+    take: async (bytes) => { await waitUntil(reserve(bytes, MAXIMUM_CREDIT_MS)) },
+    waitToReceive: async (bytes) => { await waitUntil(reserve(bytes, MAXIMUM_CREDIT_MS + bytes * MILLISECONDS_PER_SECOND / bytesPerSecond)) },
+    spend: (bytes) => { reserve(bytes, MAXIMUM_CREDIT_MS) },
     backlogMs: () => Math.max(0, freeAt - now())
   }
 }
--- a/packages/transfer/src/createManifest/index.ts
+++ b/packages/transfer/src/createManifest/index.ts
@@ -11,27 +11,27 @@
  * @returns The manifest.
  */
 export async function createManifest (source: Iterable<Uint8Array> | AsyncIterable<Uint8Array>, chunkBytes: number): Promise<transfer.Manifest> {
-  const file = crypto.createHash('sha256')
+  const fileHash = crypto.createHash('sha256')
   const chunks: types.Digest[] = []
-  let chunk = crypto.createHash('sha256')
-  let filled = 0
+  let chunkHash = crypto.createHash('sha256')
+  let chunkLength = 0
   let bytes = 0
-  for await (const piece of source) {
-    file.update(piece)
-    bytes += piece.length
-    for (let offset = 0; offset < piece.length;) {
-      const end = Math.min(piece.length, offset + chunkBytes - filled)
-      chunk.update(piece.subarray(offset, end))
-      filled += end - offset
+  for await (const block of source) {
+    fileHash.update(block)
+    bytes += block.length
+    for (let offset = 0; offset < block.length;) {
+      const end = Math.min(block.length, offset + chunkBytes - chunkLength)
+      chunkHash.update(block.subarray(offset, end))
+      chunkLength += end - offset
       offset = end
-      if (filled < chunkBytes) continue
-      chunks.push(types.brandId(chunk.digest('hex')))
-      chunk = crypto.createHash('sha256')
-      filled = 0
+      if (chunkLength < chunkBytes) continue
+      chunks.push(types.brandId(chunkHash.digest('hex')))
+      chunkHash = crypto.createHash('sha256')
+      chunkLength = 0
     }
   }
-  if (filled > 0) chunks.push(types.brandId(chunk.digest('hex')))
-  return { bytes, chunkBytes, fileDigest: types.brandId(file.digest('hex')), chunks }
+  if (chunkLength > 0) chunks.push(types.brandId(chunkHash.digest('hex')))
+  return { bytes, chunkBytes, fileDigest: types.brandId(fileHash.digest('hex')), chunks }
 }
 
 /**
--- a/packages/transfer/src/createOriginPolicy/index.ts
+++ b/packages/transfer/src/createOriginPolicy/index.ts
@@ -10,13 +10,13 @@
 export function createOriginPolicy (startedAt: number): transfer.TransferPolicy {
   return {
     prefersRare: false,
-    slotAt: () => startedAt,
+    originReadAt: () => startedAt,
     readsOrigin: () => true,
     isImporter: () => true,
-    reach: () => 'nothing',
-    announceTo: () => [],
-    overdueFrom: () => null,
-    importerOf: () => null,
+    requestScopeOf: () => 'nothing',
+    findAnnounceTargets: () => [],
+    findOverdueProvider: () => null,
+    findImporter: () => null,
     takeOver: () => false,
     release: () => {}
   }
--- a/packages/transfer/src/createPeerBook/index.ts
+++ b/packages/transfer/src/createPeerRegistry/index.ts
@@ -4,13 +4,13 @@
 import type * as transfer from '../types/index.js'
 
 /** The peers of one download. */
-export interface PeerBook {
+export interface PeerRegistry {
   readonly list: () => readonly transfer.PeerState[]
   readonly find: (node: types.NodeId) => transfer.PeerState | undefined
   /** Number of known holders by chunk. */
   readonly holders: Uint16Array
   /** Replaces the peers; what is known of those that stay at their address is kept. */
-  readonly setPeers: (peers: readonly transfer.Peer[], reach: (peer: transfer.Peer) => transfer.PeerReach) => void
+  readonly setPeers: (peers: readonly transfer.Peer[], requestScopeOf: (peer: transfer.Peer) => transfer.RequestScope) => void
   /** Notes a peer's bitmap in base64; an empty or malformed one says nothing. */
   readonly noteHave: (node: types.NodeId, have: string) => void
   /** Notes that a node holds a chunk. */
@@ -23,64 +23,64 @@
   readonly suspend: (peer: transfer.PeerState, now: number) => void
 }
 
-const BITS_IN_BYTE = 8
+const BITS_PER_BYTE = 8
 const SUSPEND_BASE_MS = 500
 const SUSPEND_MAXIMUM_MS = 4000
-const REDIRECTED_HOLDERS = 4
+const MAXIMUM_RETURNED_HOLDERS = 4
 
 /**
  * Creates an empty book.
  *
- * @param size - Number of chunks.
+ * @param chunkCount - Number of chunks.
  * @param random - Random number from 0 to 1.
  * @returns The book.
  */
-export function createPeerBook (size: number, random: () => number): PeerBook {
+export function createPeerRegistry (chunkCount: number, random: () => number): PeerRegistry {
   const peers = new Map<types.NodeId, transfer.PeerState>()
-  const holders = new Uint16Array(size)
+  const holders = new Uint16Array(chunkCount)
 
-  function setPeers (members: readonly transfer.Peer[], reach: (peer: transfer.Peer) => transfer.PeerReach): void {
-    const known = new Set(members.map((peer) => peer.node))
-    for (const node of peers.keys()) if (!known.has(node)) removePeer(node)
-    for (const peer of members) addPeer(peer, reach(peer))
+  function setPeers (members: readonly transfer.Peer[], requestScopeOf: (peer: transfer.Peer) => transfer.RequestScope): void {
+    const memberNodes = new Set(members.map((peer) => peer.node))
+    for (const node of peers.keys()) if (!memberNodes.has(node)) removePeer(node)
+    for (const peer of members) updatePeer(peer, requestScopeOf(peer))
   }
 
-  function addPeer (peer: transfer.Peer, reach: transfer.PeerReach): void {
-    const known = peers.get(peer.node)
-    const isSame = known?.address.port === peer.address.port && known.address.host === peer.address.host
-    if (known !== undefined && isSame) {
-      known.reach = reach
+  function updatePeer (peer: transfer.Peer, requestScope: transfer.RequestScope): void {
+    const existing = peers.get(peer.node)
+    const isSame = existing?.address.port === peer.address.port && existing.address.host === peer.address.host
+    if (existing !== undefined && isSame) {
+      existing.requestScope = requestScope
       return
     }
     removePeer(peer.node)
-    peers.set(peer.node, { ...peer, reach, has: bitmaps.createBitmap(size), outstanding: 0, backlog: 0, backlogAt: 0, suspendedUntil: 0, failures: 0 })
+    peers.set(peer.node, { ...peer, requestScope, has: bitmaps.createBitmap(chunkCount), outstanding: 0, backlog: 0, backlogUpdatedAt: 0, suspendedUntil: 0, failures: 0 })
   }
 
   function removePeer (node: types.NodeId): void {
     const peer = peers.get(node)
     peers.delete(node)
     if (peer === undefined) return
-    for (let chunk = 0; chunk < size; chunk += 1) if (bitmaps.hasBit(peer.has, chunk)) holders[chunk] = (holders[chunk] ?? 1) - 1
+    for (let chunk = 0; chunk < chunkCount; chunk += 1) if (bitmaps.hasBit(peer.has, chunk)) holders[chunk] = (holders[chunk] ?? 1) - 1
   }
 
   function noteHave (node: types.NodeId, have: string): void {
     const peer = peers.get(node)
-    const bitmap = have === '' ? null : bitmaps.decodeBitmap(have, size)
+    const bitmap = have === '' ? null : bitmaps.decodeBitmap(have, chunkCount)
     if (peer === undefined || bitmap === null) return
     for (let byte = 0; byte < bitmap.length; byte += 1) {
-      const fresh = (bitmap[byte] ?? 0) & ~(peer.has[byte] ?? 0)
-      if (fresh !== 0) noteFresh(peer, byte, fresh)
+      const newBits = (bitmap[byte] ?? 0) & ~(peer.has[byte] ?? 0)
+      if (newBits !== 0) markHolderOfByte(peer, byte, newBits)
     }
   }
 
-  function noteFresh (peer: transfer.PeerState, byte: number, fresh: number): void {
-    for (let bit = 0; bit < BITS_IN_BYTE; bit += 1) {
-      if ((fresh & (1 << bit)) !== 0) markHolder(peer, byte * BITS_IN_BYTE + bit)
+  function markHolderOfByte (peer: transfer.PeerState, byte: number, newBits: number): void {
+    for (let bit = 0; bit < BITS_PER_BYTE; bit += 1) {
+      if ((newBits & (1 << bit)) !== 0) markHolder(peer, byte * BITS_PER_BYTE + bit)
     }
   }
 
   function markHolder (peer: transfer.PeerState, chunk: number): void {
-    if (chunk >= size || bitmaps.hasBit(peer.has, chunk)) return
+    if (chunk >= chunkCount || bitmaps.hasBit(peer.has, chunk)) return
     bitmaps.setBit(peer.has, chunk)
     holders[chunk] = (holders[chunk] ?? 0) + 1
   }
@@ -88,13 +88,13 @@
   function findHolders (chunk: number): types.NodeId[] {
     const found = [...peers.values()].filter((peer) => bitmaps.hasBit(peer.has, chunk)).map((peer) => peer.node)
     const first = Math.floor(random() * Math.max(1, found.length))
-    return [...found.slice(first), ...found.slice(0, first)].slice(0, REDIRECTED_HOLDERS)
+    return [...found.slice(first), ...found.slice(0, first)].slice(0, MAXIMUM_RETURNED_HOLDERS)
   }
 
   function isAvailable (chunk: number, isImported: boolean, now: number): boolean {
     if (holders[chunk] === 0) return false
     for (const peer of peers.values()) {
-      const mayAsk = peer.reach === 'everything' || (peer.reach === 'imported' && isImported)
+      const mayAsk = peer.requestScope === 'everything' || (peer.requestScope === 'imported' && isImported)
       if (mayAsk && bitmaps.hasBit(peer.has, chunk) && peer.suspendedUntil <= now) return true
     }
     return false
--- a/packages/transfer/src/createSwarmPolicy/index.ts
+++ b/packages/transfer/src/createSwarmPolicy/index.ts
@@ -17,14 +17,14 @@
   /** Monotonic time in milliseconds at which the transfer began here. */
   readonly startedAt: number
   /** Milliseconds after which the next node in order asks what became of a chunk. */
-  readonly patienceMs?: number
+  readonly takeOverDelayMs?: number
   /** Whether the allowance leaves room to read again what a node that cannot be asked may have read already. */
   readonly mayReadAgain?: (provider: types.NodeId) => boolean
 }
 
-const DEFAULT_PATIENCE_MS = 3000
-const ANNOUNCEMENTS_IN_HALL = 6
-const MILLISECONDS = 1000
+const DEFAULT_TAKE_OVER_DELAY_MS = 3000
+const ANNOUNCE_TARGETS_IN_HALL = 6
+const MILLISECONDS_PER_SECOND = 1000
 
 /**
  * Creates the policy of one node for one version.
@@ -34,22 +34,22 @@
  */
 export function createSwarmPolicy (options: SwarmOptions): transfer.TransferPolicy {
   const { self, manifestDigest, startedAt } = options
-  const patienceMs = options.patienceMs ?? DEFAULT_PATIENCE_MS
-  const members = options.holders.filter((peer) => options.group.has(peer.dataHall))
-  const hall = members.filter((peer) => peer.dataHall === self.dataHall)
+  const takeOverDelayMs = options.takeOverDelayMs ?? DEFAULT_TAKE_OVER_DELAY_MS
+  const groupMembers = options.holders.filter((peer) => options.group.has(peer.dataHall))
+  const hallMembers = groupMembers.filter((peer) => peer.dataHall === self.dataHall)
   const hallRanks = new Map<number, readonly transfer.Peer[]>()
   const readers = new Map<number, transfer.Peer | undefined>()
   const takenOver = new Set<number>()
   const released = new Set<number>()
-  const slotMs = options.chunkBytes * MILLISECONDS / options.originBytesPerSecond
+  const originReadIntervalMs = options.chunkBytes * MILLISECONDS_PER_SECOND / options.originBytesPerSecond
 
-  const keyOf = (chunk: number): string => `${manifestDigest}/${chunk}`
-  const slotAt = (chunk: number): number => startedAt + chunk * slotMs
+  const formatChunkKey = (chunk: number): string => `${manifestDigest}/${chunk}`
+  const originReadAt = (chunk: number): number => startedAt + chunk * originReadIntervalMs
 
   function rankHall (chunk: number): readonly transfer.Peer[] {
-    const known = hallRanks.get(chunk)
-    if (known !== undefined) return known
-    const ranked = membership.rankByRendezvous(keyOf(chunk), hall, (peer) => peer.node)
+    const cached = hallRanks.get(chunk)
+    if (cached !== undefined) return cached
+    const ranked = membership.rankByRendezvous(formatChunkKey(chunk), hallMembers, (peer) => peer.node)
     hallRanks.set(chunk, ranked)
     return ranked
   }
@@ -57,7 +57,7 @@
   const isImporter = (chunk: number): boolean => rankHall(chunk)[0]?.node === self.node || takenOver.has(chunk)
 
   function findReader (chunk: number): transfer.Peer | undefined {
-    if (!readers.has(chunk)) readers.set(chunk, membership.pickByRendezvous(keyOf(chunk), members, (peer) => peer.node))
+    if (!readers.has(chunk)) readers.set(chunk, membership.pickByRendezvous(formatChunkKey(chunk), groupMembers, (peer) => peer.node))
     return readers.get(chunk)
   }
 
@@ -68,24 +68,24 @@
   }
 
   /** The best of every other hall in the group is the importer there. */
-  function findOtherImporters (chunk: number): types.NodeId[] {
-    const best = new Map<types.DataHallId, transfer.Peer>()
-    for (const peer of membership.rankByRendezvous(keyOf(chunk), members, (member) => member.node)) {
-      if (peer.dataHall !== self.dataHall && !best.has(peer.dataHall)) best.set(peer.dataHall, peer)
+  function findImportersOfOtherHalls (chunk: number): types.NodeId[] {
+    const importers = new Map<types.DataHallId, transfer.Peer>()
+    for (const peer of membership.rankByRendezvous(formatChunkKey(chunk), groupMembers, (member) => member.node)) {
+      if (peer.dataHall !== self.dataHall && !importers.has(peer.dataHall)) importers.set(peer.dataHall, peer)
     }
-    return [...best.values()].map((peer) => peer.node)
+    return [...importers.values()].map((peer) => peer.node)
   }
 
-  function announceTo (chunk: number): readonly types.NodeId[] {
+  function findAnnounceTargets (chunk: number): readonly types.NodeId[] {
     if (!isImporter(chunk)) return []
-    const near = rankHall(chunk).filter((peer) => peer.node !== self.node).slice(0, ANNOUNCEMENTS_IN_HALL).map((peer) => peer.node)
-    return readsOrigin(chunk) ? [...findOtherImporters(chunk), ...near] : near
+    const hallTargets = rankHall(chunk).filter((peer) => peer.node !== self.node).slice(0, ANNOUNCE_TARGETS_IN_HALL).map((peer) => peer.node)
+    return readsOrigin(chunk) ? [...findImportersOfOtherHalls(chunk), ...hallTargets] : hallTargets
   }
 
-  function overdueFrom (chunk: number, now: number): types.NodeId | null {
+  function findOverdueProvider (chunk: number, now: number): types.NodeId | null {
     const ranked = rankHall(chunk)
     const rank = ranked.findIndex((peer) => peer.node === self.node)
-    const isLate = now >= slotAt(chunk) + patienceMs * (rank + 1)
+    const isLate = now >= originReadAt(chunk) + takeOverDelayMs * (rank + 1)
     if (!isLate || readsOrigin(chunk)) return null
     const reader = findReader(chunk)?.node ?? null
     if (rank === 0) return reader === self.node ? ranked[1]?.node ?? null : reader
@@ -94,13 +94,13 @@
 
   return {
     prefersRare: true,
-    slotAt,
+    originReadAt,
     readsOrigin,
-    announceTo,
-    overdueFrom,
+    findAnnounceTargets,
+    findOverdueProvider,
     isImporter,
-    importerOf: (chunk) => isImporter(chunk) ? null : rankHall(chunk)[0]?.node ?? null,
-    reach: (peer) => peer.dataHall === self.dataHall ? 'everything' : 'imported',
+    findImporter: (chunk) => isImporter(chunk) ? null : rankHall(chunk)[0]?.node ?? null,
+    requestScopeOf: (peer) => peer.dataHall === self.dataHall ? 'everything' : 'imported',
     takeOver: (chunk, provider) => {
       if (options.mayReadAgain?.(provider) === false) return false
       released.delete(chunk)
--- a/packages/transfer/src/createTransfer/index.ts
+++ b/packages/transfer/src/createTransfer/index.ts
@@ -64,7 +64,7 @@
   readonly stop: () => void
 }
 
-interface Active {
+interface ActiveTransfer {
   wanted: WantedVersion
   readonly startedAt: number
   download: createDownload.Download | null
@@ -72,12 +72,12 @@
   signature: string
 }
 
-const TICK_MS = 50
+const TIMER_INTERVAL_MS = 50
 /** Requests in flight grow with chunks that arrive and shrink when peers have no slot, so that few holders are not swamped. */
 const MINIMUM_WINDOW = 4
 const WINDOW_INCREASE = 0.5
 const WINDOW_DECREASE = 0.9
-const OVERDUE_TICKS = 5
+const TICKS_PER_OVERDUE_CHECK = 5
 const MANIFEST_RETRY_MS = 500
 
 /**
@@ -87,10 +87,10 @@
  * @returns The transfers; nothing is fetched until something is wanted.
  */
 export function createTransfer (options: TransferOptions): Transfer {
-  const active = new Map<types.Digest, Active>()
-  let window = MINIMUM_WINDOW
+  const active = new Map<types.Digest, ActiveTransfer>()
+  let requestWindow = MINIMUM_WINDOW
   let ticks = 0
-  let ticker: NodeJS.Timeout | null = null
+  let timer: NodeJS.Timeout | null = null
 
   function setWanted (wanted: readonly WantedVersion[]): void {
     const digests = new Set(wanted.map((each) => each.digest))
@@ -103,11 +103,11 @@
     active.clear()
     for (const each of wanted) active.set(each.digest, known.get(each.digest) ?? createEntry(each))
     for (const each of wanted) update(each, known.has(each.digest))
-    updateTicker()
-    pump()
+    updateTimer()
+    startRequests()
   }
 
-  function createEntry (wanted: WantedVersion): Active {
+  function createEntry (wanted: WantedVersion): ActiveTransfer {
     return { wanted, startedAt: options.now(), download: null, isComplete: false, signature: '' }
   }
 
@@ -116,17 +116,17 @@
     if (entry === undefined) return
     entry.wanted = wanted
     if (isKnown) applyPolicy(entry)
-    else void begin(entry)
+    else void startDownload(entry)
   }
 
-  async function begin (entry: Active): Promise<void> {
+  async function startDownload (entry: ActiveTransfer): Promise<void> {
     const { digest } = entry.wanted
     const manifest = await obtainManifest(entry)
     if (manifest === null || active.get(digest) !== entry) return
     const opened = options.store.open(digest, manifest)
     if (!opened.ok) {
       options.onEvent({ event: 'store-full', digest, reason: opened.error.message })
-      setTimeout(() => { if (active.get(digest) === entry) void begin(entry) }, MANIFEST_RETRY_MS)
+      setTimeout(() => { if (active.get(digest) === entry) void startDownload(entry) }, MANIFEST_RETRY_MS)
       return
     }
     entry.download = createDownload.createDownload({
@@ -134,19 +134,19 @@
       source: entry.wanted.source,
       requests: options.requests,
       downlink: options.downlink,
-      perPeer: options.perPeer,
+      requestsPerPeer: options.perPeer,
       now: options.now,
       random: options.random,
-      onRefused: () => { window = Math.max(MINIMUM_WINDOW, window * WINDOW_DECREASE) },
-      onReceived: () => { window = Math.min(options.requestsInFlight, window + WINDOW_INCREASE) },
-      onProgress: () => { pump() },
+      onRefused: () => { requestWindow = Math.max(MINIMUM_WINDOW, requestWindow * WINDOW_DECREASE) },
+      onReceived: () => { requestWindow = Math.min(options.requestsInFlight, requestWindow + WINDOW_INCREASE) },
+      onProgress: () => { startRequests() },
       onEvent: options.onEvent
     })
     applyPolicy(entry)
-    pump()
+    startRequests()
   }
 
-  async function obtainManifest (entry: Active): Promise<transfer.Manifest | null> {
+  async function obtainManifest (entry: ActiveTransfer): Promise<transfer.Manifest | null> {
     const { digest } = entry.wanted
     while (active.get(digest) === entry) {
       const known = options.store.find(digest)
@@ -160,50 +160,50 @@
     return null
   }
 
-  function applyPolicy (entry: Active): void {
+  function applyPolicy (entry: ActiveTransfer): void {
     if (entry.download === null || entry.signature === entry.wanted.signature) return
     entry.signature = entry.wanted.signature
     entry.download.setPolicy(entry.wanted.createPolicy(entry.download.holding.manifest, entry.startedAt), entry.wanted.peers)
   }
 
-  function countOpen (): number {
+  function countOpenRequests (): number {
     return [...active.values()].reduce((sum, entry) => sum + (entry.download?.openRequests() ?? 0), 0)
   }
 
-  function pump (): void {
+  function startRequests (): void {
     for (const entry of active.values()) {
       if (entry.download === null || entry.isComplete) continue
-      while (countOpen() < window && entry.download.startRequest());
+      while (countOpenRequests() < requestWindow && entry.download.startRequest());
       if (entry.download.holding.isComplete()) complete(entry)
     }
   }
 
-  function complete (entry: Active): void {
+  function complete (entry: ActiveTransfer): void {
     entry.isComplete = true
-    updateTicker()
+    updateTimer()
     options.onComplete(entry.wanted.digest)
   }
 
-  function updateTicker (): void {
-    const isBusy = [...active.values()].some((entry) => !entry.isComplete)
-    if (isBusy && ticker === null) ticker = setInterval(tick, TICK_MS)
-    if (!isBusy && ticker !== null) {
-      clearInterval(ticker)
-      ticker = null
+  function updateTimer (): void {
+    const isActive = [...active.values()].some((entry) => !entry.isComplete)
+    if (isActive && timer === null) timer = setInterval(tick, TIMER_INTERVAL_MS)
+    if (!isActive && timer !== null) {
+      clearInterval(timer)
+      timer = null
     }
   }
 
   function tick (): void {
     ticks += 1
-    if (ticks % OVERDUE_TICKS === 0) {
+    if (ticks % TICKS_PER_OVERDUE_CHECK === 0) {
       for (const entry of active.values()) if (!entry.isComplete) entry.download?.checkOverdue()
     }
-    pump()
+    startRequests()
   }
 
-  function answerProvider (digest: types.Digest, chunk: number, successor: types.NodeId | null): transfer.ProviderAnswer {
+  function answerProviderQuery (digest: types.Digest, chunk: number, successor: types.NodeId | null): transfer.ProviderAnswer {
     const held = options.store.find(digest)?.has(chunk) === true
-    return held ? 'has' : active.get(digest)?.download?.answerProvider(chunk, successor) ?? 'released'
+    return held ? 'has' : active.get(digest)?.download?.answerProviderQuery(chunk, successor) ?? 'released'
   }
 
   function progress (): TransferProgress[] {
@@ -215,21 +215,21 @@
 
   return {
     setWanted,
-    openRequests: countOpen,
-    answerProvider,
+    openRequests: countOpenRequests,
+    answerProvider: answerProviderQuery,
     progress,
     noteHave: (digest, node, have) => {
       const entry = active.get(digest)
       if (entry?.download == null) return
       entry.download.noteHave(node, have)
-      if (!entry.isComplete) pump()
+      if (!entry.isComplete) startRequests()
     },
     noteSent: (digest, node, chunk) => { active.get(digest)?.download?.noteHolder(node, chunk) },
     findHolders: (digest, chunk) => active.get(digest)?.download?.findHolders(chunk) ?? [],
     stop: () => {
       for (const entry of active.values()) entry.download?.stop()
       active.clear()
-      updateTicker()
+      updateTimer()
     }
   }
 }
--- a/packages/transfer/src/createTransfer/test.ts
+++ b/packages/transfer/src/createTransfer/test.ts
@@ -6,15 +6,15 @@
 const CHUNK_BYTES = 8
 const STEP_MS = 10
 const LIMIT_MS = 60_000
-const HOP_MS = 20
+const LATENCY_MS = 20
 
 interface Faults {
   /** Nodes that answer nothing. */
-  readonly dead: Set<string>
+  readonly unreachable: Set<string>
   /** Nodes whose chunks come with a wrong byte. */
   readonly corrupting: Set<string>
   /** Nodes that nothing is said to unless they ask. */
-  readonly deaf: Set<string>
+  readonly withoutAnnouncements: Set<string>
   /** Nodes that cannot reach the origin. */
   readonly withoutOrigin: Set<string>
   origin: 'good' | 'refusing' | 'corrupt' | 'breaking'
@@ -24,7 +24,7 @@
   readonly name: string
   readonly hall: string
   readonly store: transfer.ChunkStore
-  readonly moved: transfer.Transfer
+  readonly transfers: transfer.Transfer
   completed: number
 }
 
@@ -33,7 +33,7 @@
   readonly faults: Faults
   readonly originBytes: () => number
   readonly events: transfer.DownloadEvent[]
-  readonly want: (version: Version, names?: readonly string[]) => void
+  readonly setWanted: (version: Version, names?: readonly string[]) => void
   readonly runUntil: (condition: () => boolean) => Promise<boolean>
 }
 
@@ -43,23 +43,23 @@
   readonly digest: types.Digest
 }
 
-async function makeVersion (text: string): Promise<Version> {
+async function createVersion (text: string): Promise<Version> {
   const bytes = Buffer.from(text)
   const manifest = await transfer.createManifest([bytes], CHUNK_BYTES)
   return { bytes, manifest, digest: transfer.computeDigest(transfer.formatManifest(manifest)) }
 }
 
-const textOf = (seed: string, chunks: number): string => Array.from({ length: chunks }, (_, index) => `${seed}${index}`.padEnd(CHUNK_BYTES, '.')).join('')
+const createText = (seed: string, chunks: number): string => Array.from({ length: chunks }, (_, index) => `${seed}${index}`.padEnd(CHUNK_BYTES, '.')).join('')
 
 function toPeer (name: string, hall: string): transfer.Peer {
   return { node: types.brandId(name), dataHall: types.brandId(hall), address: { host: name, port: 1 } }
 }
 
 /** Nodes whose transfers reach each other's stores through functions, on the paused clock. */
-function openSwarm (context: test.TestContext, halls: readonly string[], versions: readonly Version[]): Swarm {
+function createSwarm (context: test.TestContext, halls: readonly string[], versions: readonly Version[]): Swarm {
   context.mock.timers.enable({ apis: ['setTimeout', 'setInterval', 'Date'] })
   const now = (): number => Date.now()
-  const faults: Faults = { dead: new Set(), corrupting: new Set(), deaf: new Set(), withoutOrigin: new Set(), origin: 'good' }
+  const faults: Faults = { unreachable: new Set(), corrupting: new Set(), withoutAnnouncements: new Set(), withoutOrigin: new Set(), origin: 'good' }
   const peers = halls.map((hall, index) => toPeer(`node-${index}`, hall))
   const events: transfer.DownloadEvent[] = []
   const nodes = new Map<string, Node>()
@@ -68,10 +68,10 @@
   const random = (): number => { seed = (seed * 16_807) % 2_147_483_647; return seed / 2_147_483_647 }
 
   const readOrigin = async (name: string, source: string, from: number, length: number): Promise<transfer.OriginAnswer> => {
-    await types.delay(HOP_MS)
+    await types.delay(LATENCY_MS)
     const version = versions.find((each) => each.digest === source)
-    const isOut = faults.origin === 'refusing' || faults.withoutOrigin.has(name) || version === undefined
-    if (isOut) return { bytes: Buffer.alloc(0), error: new types.UnavailableError('status 503') }
+    const isUnavailable = faults.origin === 'refusing' || faults.withoutOrigin.has(name) || version === undefined
+    if (isUnavailable) return { bytes: Buffer.alloc(0), error: new types.UnavailableError('status 503') }
     const part = Buffer.from(version.bytes.subarray(from, from + (faults.origin === 'breaking' && length > 2 ? Math.ceil(length / 2) : length)))
     originBytes += part.length
     if (faults.origin === 'corrupt') part[0] = (part[0] ?? 0) ^ 1
@@ -86,21 +86,21 @@
     fetchOrigin: async (source, from, length) => await readOrigin(self.node, source, from, length),
     fetchChunk: async (peer, digest, chunk, have, timeoutMs) => {
       const provider = nodes.get(peer.node)
-      const silent = { have: '', backlog: 0, holders: [] }
-      if (provider === undefined || faults.dead.has(peer.node) || faults.dead.has(self.node)) {
+      const emptyReport = { have: '', backlog: 0, holders: [] }
+      if (provider === undefined || faults.unreachable.has(peer.node) || faults.unreachable.has(self.node)) {
         await types.delay(timeoutMs)
-        return { statement: silent, outcome: types.fail(new types.UnavailableError('no answer')) }
+        return { report: emptyReport, outcome: types.fail(new types.UnavailableError('no answer')) }
       }
-      await types.delay(HOP_MS)
-      provider.moved.noteHave(digest, self.node, have)
+      await types.delay(LATENCY_MS)
+      provider.transfers.noteHave(digest, self.node, have)
       const holding = provider.store.find(digest)
       const bytes = holding?.get(chunk)
-      const statement = { ...silent, have: holding === undefined ? '' : transfer.encodeBitmap(holding.bitmap) }
-      if (bytes === undefined) return { statement, outcome: types.fail(new transfer.ChunkRefusedError('status 404')) }
-      return { statement, outcome: types.succeed(faults.corrupting.has(peer.node) ? Buffer.from('wrong!!!') : bytes) }
+      const statement = { ...emptyReport, have: holding === undefined ? '' : transfer.encodeBitmap(holding.bitmap) }
+      if (bytes === undefined) return { report: statement, outcome: types.fail(new transfer.ChunkRefusedError('status 404')) }
+      return { report: statement, outcome: types.succeed(faults.corrupting.has(peer.node) ? Buffer.from('wrong!!!') : bytes) }
     },
-    announce: (peer, digest, have) => { if (!faults.dead.has(self.node) && !faults.deaf.has(peer.node)) nodes.get(peer.node)?.moved.noteHave(digest, self.node, have) },
-    askProvider: async (peer, digest, chunk, wouldTakeOver) => faults.dead.has(peer.node) ? 'unreachable' : nodes.get(peer.node)?.moved.answerProvider(digest, chunk, wouldTakeOver ? self.node : null) ?? 'unreachable'
+    announce: (peer, digest, have) => { if (!faults.unreachable.has(self.node) && !faults.withoutAnnouncements.has(peer.node)) nodes.get(peer.node)?.transfers.noteHave(digest, self.node, have) },
+    askProvider: async (peer, digest, chunk, wouldTakeOver) => faults.unreachable.has(peer.node) ? 'unreachable' : nodes.get(peer.node)?.transfers.answerProvider(digest, chunk, wouldTakeOver ? self.node : null) ?? 'unreachable'
   })
 
   for (const self of peers) {
@@ -110,7 +110,7 @@
       hall: self.dataHall,
       store,
       completed: 0,
-      moved: transfer.createTransfer({
+      transfers: transfer.createTransfer({
         store,
         requests: createRequests(self),
         downlink: transfer.createLinkPacer(0, now),
@@ -123,13 +123,13 @@
       })
     }
     nodes.set(self.node, node)
-    context.after(() => { node.moved.stop() })
+    context.after(() => { node.transfers.stop() })
   }
 
-  const want = (version: Version, names: readonly string[] = peers.map((peer) => peer.node)): void => {
+  const setWanted = (version: Version, names: readonly string[] = peers.map((peer) => peer.node)): void => {
     const holders = peers.filter((peer) => names.includes(peer.node))
     for (const self of holders) {
-      nodes.get(self.node)?.moved.setWanted([{
+      nodes.get(self.node)?.transfers.setWanted([{
         digest: version.digest,
         source: version.digest,
         peers: holders.filter((peer) => peer !== self),
@@ -148,115 +148,115 @@
     }
     return condition()
   }
-  return { nodes: [...nodes.values()], faults, originBytes: () => originBytes, events, want, runUntil }
+  return { nodes: [...nodes.values()], faults, originBytes: () => originBytes, events, setWanted, runUntil }
 }
 
 const HALLS = ['a', 'a', 'a', 'b', 'b', 'c']
 
-function holdAll (swarm: Swarm, version: Version, except: readonly string[] = []): boolean {
+function isHeldByAll (swarm: Swarm, version: Version, except: readonly string[] = []): boolean {
   return swarm.nodes.filter((node) => !except.includes(node.name)).every((node) => node.store.find(version.digest)?.isComplete() === true)
 }
 
 test.describe('createTransfer', () => {
   test.it('brings one copy from the origin to all nodes', async (context) => {
-    const version = await makeVersion(textOf('x', 40))
-    const swarm = openSwarm(context, HALLS, [version])
-    swarm.want(version)
-    assert.ok(await swarm.runUntil(() => holdAll(swarm, version)))
+    const version = await createVersion(createText('x', 40))
+    const swarm = createSwarm(context, HALLS, [version])
+    swarm.setWanted(version)
+    assert.ok(await swarm.runUntil(() => isHeldByAll(swarm, version)))
     assert.equal(swarm.originBytes(), version.bytes.length)
     assert.ok(swarm.nodes.every((node) => node.completed === 1))
   })
 
   test.it('goes on when a node dies in the middle, as reader and as only holder', async (context) => {
-    const version = await makeVersion(textOf('x', 40))
-    const swarm = openSwarm(context, HALLS, [version])
-    swarm.want(version)
+    const version = await createVersion(createText('x', 40))
+    const swarm = createSwarm(context, HALLS, [version])
+    swarm.setWanted(version)
     await swarm.runUntil(() => swarm.originBytes() > version.bytes.length / 3)
-    swarm.faults.dead.add('node-1')
-    const alive = swarm.nodes.map((node) => node.name).filter((name) => name !== 'node-1')
+    swarm.faults.unreachable.add('node-1')
+    const reachableNames = swarm.nodes.map((node) => node.name).filter((name) => name !== 'node-1')
     await swarm.runUntil(() => false)
-    swarm.want(version, alive)
-    assert.ok(await swarm.runUntil(() => holdAll(swarm, version, ['node-1'])))
+    swarm.setWanted(version, reachableNames)
+    assert.ok(await swarm.runUntil(() => isHeldByAll(swarm, version, ['node-1'])))
     assert.ok(swarm.originBytes() <= 1.35 * version.bytes.length, `${swarm.originBytes()} bytes`)
   })
 
   test.it('drops corrupted chunks of a peer and gets them elsewhere', async (context) => {
-    const version = await makeVersion(textOf('x', 30))
-    const swarm = openSwarm(context, HALLS, [version])
+    const version = await createVersion(createText('x', 30))
+    const swarm = createSwarm(context, HALLS, [version])
     swarm.faults.corrupting.add('node-0')
-    swarm.want(version)
+    swarm.setWanted(version)
     await swarm.runUntil(() => swarm.events.some((event) => event.event === 'chunk-corrupt'))
     swarm.faults.corrupting.clear()
-    assert.ok(await swarm.runUntil(() => holdAll(swarm, version)))
+    assert.ok(await swarm.runUntil(() => isHeldByAll(swarm, version)))
     assert.ok(swarm.events.some((event) => event.event === 'chunk-corrupt' && event.from === 'node-0'))
   })
 
   test.it('keeps nothing of an origin that changed its bytes, asks it ever more seldom, and ends when they are right again', async (context) => {
-    const version = await makeVersion(textOf('x', 20))
-    const swarm = openSwarm(context, HALLS, [version])
+    const version = await createVersion(createText('x', 20))
+    const swarm = createSwarm(context, HALLS, [version])
     swarm.faults.origin = 'corrupt'
-    swarm.want(version)
+    swarm.setWanted(version)
     await swarm.runUntil(() => false)
     assert.ok(swarm.nodes.every((node) => node.store.find(version.digest)?.count() === 0))
     assert.ok(swarm.originBytes() <= 4 * version.bytes.length, `${swarm.originBytes()} bytes in a minute`)
     swarm.faults.origin = 'good'
-    assert.ok(await swarm.runUntil(() => holdAll(swarm, version)))
+    assert.ok(await swarm.runUntil(() => isHeldByAll(swarm, version)))
   })
 
   test.it('waits out an origin that refuses', async (context) => {
-    const version = await makeVersion(textOf('x', 20))
-    const swarm = openSwarm(context, HALLS, [version])
+    const version = await createVersion(createText('x', 20))
+    const swarm = createSwarm(context, HALLS, [version])
     swarm.faults.origin = 'refusing'
-    swarm.want(version)
+    swarm.setWanted(version)
     await swarm.runUntil(() => swarm.events.filter((event) => event.event === 'origin-failed').length > 10)
     swarm.faults.origin = 'good'
-    assert.ok(await swarm.runUntil(() => holdAll(swarm, version)))
+    assert.ok(await swarm.runUntil(() => isHeldByAll(swarm, version)))
     assert.equal(swarm.originBytes(), version.bytes.length)
   })
 
   test.it('resumes ranges that the origin closes, without reading bytes twice', async (context) => {
-    const version = await makeVersion(textOf('x', 12))
-    const swarm = openSwarm(context, HALLS, [version])
+    const version = await createVersion(createText('x', 12))
+    const swarm = createSwarm(context, HALLS, [version])
     swarm.faults.origin = 'breaking'
-    swarm.want(version)
-    assert.ok(await swarm.runUntil(() => holdAll(swarm, version)))
+    swarm.setWanted(version)
+    assert.ok(await swarm.runUntil(() => isHeldByAll(swarm, version)))
     assert.equal(swarm.originBytes(), version.bytes.length)
   })
 
   test.it('lets others read the chunks of a node that cannot reach the origin', async (context) => {
-    const version = await makeVersion(textOf('x', 30))
-    const swarm = openSwarm(context, HALLS, [version])
+    const version = await createVersion(createText('x', 30))
+    const swarm = createSwarm(context, HALLS, [version])
     swarm.faults.withoutOrigin.add('node-2')
-    swarm.want(version)
-    assert.ok(await swarm.runUntil(() => holdAll(swarm, version)))
+    swarm.setWanted(version)
+    assert.ok(await swarm.runUntil(() => isHeldByAll(swarm, version)))
     assert.equal(swarm.originBytes(), version.bytes.length)
     assert.ok(swarm.events.some((event) => event.event === 'took-over'))
   })
 
   test.it('finds its last chunks also when no announcement of them reached it', async (context) => {
-    const version = await makeVersion(textOf('x', 24))
+    const version = await createVersion(createText('x', 24))
     const halls = Array.from({ length: 14 }, () => 'a')
-    const swarm = openSwarm(context, halls, [version])
-    swarm.faults.deaf.add('node-3')
-    swarm.want(version)
-    assert.ok(await swarm.runUntil(() => holdAll(swarm, version, ['node-3'])))
+    const swarm = createSwarm(context, halls, [version])
+    swarm.faults.withoutAnnouncements.add('node-3')
+    swarm.setWanted(version)
+    assert.ok(await swarm.runUntil(() => isHeldByAll(swarm, version, ['node-3'])))
     const before = Date.now()
-    assert.ok(await swarm.runUntil(() => holdAll(swarm, version)))
+    assert.ok(await swarm.runUntil(() => isHeldByAll(swarm, version)))
     assert.ok(Date.now() - before < 5000, `${Date.now() - before} ms of the paused clock after all others`)
   })
 
   test.it('stops a version that is replaced in the middle and keeps the chunks that both share', async (context) => {
-    const shared = textOf('s', 20)
-    const first = await makeVersion(shared + textOf('x', 20))
-    const second = await makeVersion(shared + textOf('y', 20))
-    const swarm = openSwarm(context, HALLS, [first, second])
-    swarm.want(first)
+    const shared = createText('s', 20)
+    const first = await createVersion(shared + createText('x', 20))
+    const second = await createVersion(shared + createText('y', 20))
+    const swarm = createSwarm(context, HALLS, [first, second])
+    swarm.setWanted(first)
     await swarm.runUntil(() => swarm.originBytes() > first.bytes.length / 3)
-    swarm.want(second)
-    swarm.want(first)
-    swarm.want(second)
-    assert.ok(await swarm.runUntil(() => holdAll(swarm, second)))
+    swarm.setWanted(second)
+    swarm.setWanted(first)
+    swarm.setWanted(second)
+    assert.ok(await swarm.runUntil(() => isHeldByAll(swarm, second)))
     assert.ok(swarm.originBytes() < first.bytes.length * 1.6, `${swarm.originBytes()} bytes for two versions of ${first.bytes.length}`)
-    assert.ok(!holdAll(swarm, first))
+    assert.ok(!isHeldByAll(swarm, first))
   })
 })
--- a/packages/transfer/src/createTreePolicy/index.ts
+++ b/packages/transfer/src/createTreePolicy/index.ts
@@ -24,17 +24,17 @@
   const ranked = membership.rankByRendezvous(options.manifestDigest, options.holders, (peer) => peer.node)
   const position = ranked.findIndex((peer) => peer.node === options.self.node)
   const parent = position === 0 ? undefined : ranked[Math.floor((position - 1) / options.children)]
-  const first = position * options.children + 1
-  const children = ranked.slice(first, first + options.children).map((peer) => peer.node)
+  const firstChild = position * options.children + 1
+  const children = ranked.slice(firstChild, firstChild + options.children).map((peer) => peer.node)
   return {
     prefersRare: false,
-    slotAt: () => options.startedAt,
+    originReadAt: () => options.startedAt,
     readsOrigin: () => position === 0,
     isImporter: () => true,
-    reach: (peer) => peer.node === parent?.node ? 'everything' : 'nothing',
-    announceTo: () => children,
-    overdueFrom: () => null,
-    importerOf: () => null,
+    requestScopeOf: (peer) => peer.node === parent?.node ? 'everything' : 'nothing',
+    findAnnounceTargets: () => children,
+    findOverdueProvider: () => null,
+    findImporter: () => null,
     takeOver: () => false,
     release: () => {}
   }
--- a/packages/transfer/src/createUploader/index.ts
+++ b/packages/transfer/src/createUploader/index.ts
@@ -30,25 +30,25 @@
   readonly sentBytes: () => number
 }
 
-interface WaitingUpload {
+interface QueuedUpload {
   /** Chunks that the requester holds. */
   readonly held: number
   /** Uploads that were taken before this one. */
-  passedOver: number
+  timesSkipped: number
   readonly isGone: () => boolean
   readonly resolve: (isWanted: boolean) => void
 }
 
 /** Uploads that use the link at a time: one on its way and one ready to follow. */
-const SENDING_AT_A_TIME = 2
+const MAXIMUM_CONCURRENT_UPLOADS = 2
 const CHUNK_PATH = /^\/chunks\/([0-9a-f]{64})\/(\d+)$/
 const MANIFEST_PATH = /^\/manifests\/([0-9a-f]{64})$/
 
 /** Chunks by which a requester moves up for each upload that goes before it. */
-const MOVES_UP = 2
+const CHUNKS_PER_SKIP = 2
 
-function scoreOf (upload: WaitingUpload | undefined): number {
-  return upload === undefined ? Infinity : upload.held - MOVES_UP * upload.passedOver
+function computeRank (upload: QueuedUpload | undefined): number {
+  return upload === undefined ? Infinity : upload.held - CHUNKS_PER_SKIP * upload.timesSkipped
 }
 
 /**
@@ -59,7 +59,7 @@
  */
 export function createUploader (options: UploaderOptions): Uploader {
   const manifests = new WeakMap<createChunkStore.Holding, Buffer>()
-  const waiting: WaitingUpload[] = []
+  const waiting: QueuedUpload[] = []
   let sending = 0
   let sentBytes = 0
 
@@ -101,13 +101,13 @@
   }
 
   /** Takes the requester that holds least, so that all end together; who is passed over moves up. */
-  function takeMostBehind (): WaitingUpload | undefined {
+  function takeNext (): QueuedUpload | undefined {
     let best = 0
     for (let index = 1; index < waiting.length; index += 1) {
-      if (scoreOf(waiting[index]) < scoreOf(waiting[best])) best = index
+      if (computeRank(waiting[index]) < computeRank(waiting[best])) best = index
     }
     const [taken] = waiting.splice(best, 1)
-    for (const upload of waiting) upload.passedOver += 1
+    for (const upload of waiting) upload.timesSkipped += 1
     return taken
   }
 
@@ -115,14 +115,14 @@
   async function waitForTurn (context: Koa.Context, size: number): Promise<boolean> {
     const held = bitmaps.countBits(bitmaps.decodeBitmap(context.get(fetchChunk.HAVE_HEADER), size))
     return await new Promise<boolean>((resolve) => {
-      waiting.push({ held, passedOver: 0, isGone: () => context.req.destroyed || context.res.destroyed, resolve })
+      waiting.push({ held, timesSkipped: 0, isGone: () => context.req.destroyed || context.res.destroyed, resolve })
       startNext()
     })
   }
 
   function startNext (): void {
-    while (sending < SENDING_AT_A_TIME) {
-      const next = takeMostBehind()
+    while (sending < MAXIMUM_CONCURRENT_UPLOADS) {
+      const next = takeNext()
       if (next === undefined) return
       const isWanted = !next.isGone()
       if (isWanted) sending += 1
@@ -155,10 +155,10 @@
       await next()
       return
     }
-    const admitted = rpc.checkIdentityHeaders(options.identity, context.headers)
-    if (!admitted.ok) {
+    const identityCheck = rpc.checkIdentityHeaders(options.identity, context.headers)
+    if (!identityCheck.ok) {
       context.status = 403
-      context.body = { error: admitted.error.message }
+      context.body = { error: identityCheck.error.message }
     } else if (chunkMatch !== null) {
       await sendChunk(context, types.brandId<types.Digest>(chunkMatch[1] ?? ''), Number(chunkMatch[2]))
     } else {
--- a/packages/transfer/src/fetchChunk/index.ts
+++ b/packages/transfer/src/fetchChunk/index.ts
@@ -13,7 +13,7 @@
 export class ChunkRefusedError extends types.SwitchridgeError {}
 
 /** What a peer says of itself on every answer. */
-export interface PeerStatement {
+export interface PeerReport {
   /** Its bitmap in base64; empty when it did not say. */
   readonly have: string
   readonly backlog: number
@@ -23,7 +23,7 @@
 
 /** A peer's answer to the request for a chunk. */
 export interface ChunkAnswer {
-  readonly statement: PeerStatement
+  readonly report: PeerReport
   readonly outcome: types.Outcome<Buffer, ChunkRefusedError | types.UnavailableError>
 }
 
@@ -37,7 +37,7 @@
 }
 
 const OK = 200
-const NO_STATEMENT: PeerStatement = { have: '', backlog: 0, holders: [] }
+const EMPTY_REPORT: PeerReport = { have: '', backlog: 0, holders: [] }
 
 /**
  * Fetches one chunk from a peer.
@@ -58,14 +58,14 @@
     timeoutMs: options.timeoutMs,
     signal: options.signal
   })
-  if (!sent.ok) return { statement: NO_STATEMENT, outcome: sent }
+  if (!sent.ok) return { report: EMPTY_REPORT, outcome: sent }
   const { status, headers, body } = sent.value
-  const statement = {
+  const report = {
     have: String(headers[HAVE_HEADER] ?? ''),
     backlog: Number(headers[BACKLOG_HEADER] ?? 0),
     holders: String(headers[HOLDERS_HEADER] ?? '').split(' ').filter((node) => node !== '').map((node) => types.brandId<types.NodeId>(node))
   }
-  return { statement, outcome: status === OK ? types.succeed(body) : types.fail(new ChunkRefusedError(`status ${status}`)) }
+  return { report, outcome: status === OK ? types.succeed(body) : types.fail(new ChunkRefusedError(`status ${status}`)) }
 }
 
 /**
@@ -78,7 +78,7 @@
  */
 export async function fetchManifest (address: types.Address, digest: types.Digest, options: FetchOptions): Promise<types.Outcome<Buffer, types.UnavailableError>> {
   const url = `${rpc.formatBaseUrl(options.agents, address)}/manifests/${digest}`
-  return await fetchWhole(url, rpc.createIdentityHeaders(options.identity), options)
+  return await fetchBody(url, rpc.createIdentityHeaders(options.identity), options)
 }
 
 /**
@@ -89,7 +89,7 @@
  * @returns The bytes, unchecked.
  */
 export async function fetchOriginManifest (url: string, options: Omit<FetchOptions, 'identity' | 'self'>): Promise<types.Outcome<Buffer, types.UnavailableError>> {
-  return await fetchWhole(`${url}.manifest.json`, {}, options)
+  return await fetchBody(`${url}.manifest.json`, {}, options)
 }
 
 /** A range of the origin, as far as it came. */
@@ -112,7 +112,7 @@
   const parts: Buffer[] = []
   let size = 0
   try {
-    const stream = got.got.stream(url, { ...formRequest(options), throwHttpErrors: true, headers: { range: `bytes=${from}-${from + length - 1}` } })
+    const stream = got.got.stream(url, { ...createRequestOptions(options), throwHttpErrors: true, headers: { range: `bytes=${from}-${from + length - 1}` } })
     stream.on('error', ignoreLateError)
     stream.on('response', (response: got.Response) => {
       if (response.statusCode !== 206) stream.destroy(new types.UnavailableError(`status ${response.statusCode} for a range`))
@@ -131,9 +131,9 @@
 /** A request that is aborted after its end reports an error that nobody waits for any more. */
 function ignoreLateError (): void {}
 
-async function fetchWhole (url: string, headers: Record<string, string>, options: Omit<FetchOptions, 'identity' | 'self'>): Promise<types.Outcome<Buffer, types.UnavailableError>> {
+async function fetchBody (url: string, headers: Record<string, string>, options: Omit<FetchOptions, 'identity' | 'self'>): Promise<types.Outcome<Buffer, types.UnavailableError>> {
   try {
-    const response = await got.got(url, { ...formRequest(options), headers, responseType: 'buffer' })
+    const response = await got.got(url, { ...createRequestOptions(options), headers, responseType: 'buffer' })
     if (response.statusCode === 200) return types.succeed(response.rawBody)
     return types.fail(new types.UnavailableError(`status ${response.statusCode} for ${url}`))
   } catch (thrown) {
@@ -141,7 +141,7 @@
   }
 }
 
-function formRequest (options: Pick<FetchOptions, 'agents' | 'timeoutMs' | 'signal'>) {
+function createRequestOptions (options: Pick<FetchOptions, 'agents' | 'timeoutMs' | 'signal'>) {
   return {
     agent: { http: options.agents.http, https: options.agents.https },
     timeout: { request: options.timeoutMs },
--- a/packages/transfer/src/parseManifest/index.ts
+++ b/packages/transfer/src/parseManifest/index.ts
@@ -4,13 +4,13 @@
 import * as createManifest from '../createManifest/index.js'
 import type * as transfer from '../types/index.js'
 
-const DIGEST = /^[0-9a-f]{64}$/
+const DIGEST_PATTERN = /^[0-9a-f]{64}$/
 
 const manifestSchema = zod.strictObject({
   bytes: zod.int().positive(),
   chunkBytes: zod.int().positive(),
-  fileDigest: zod.string().regex(DIGEST),
-  chunks: zod.array(zod.string().regex(DIGEST)).min(1)
+  fileDigest: zod.string().regex(DIGEST_PATTERN),
+  chunks: zod.array(zod.string().regex(DIGEST_PATTERN)).min(1)
 })
 
 /**
@@ -21,8 +21,8 @@
  * @returns The manifest, or an error when it is another one or contradicts itself.
  */
 export function parseManifest (bytes: Uint8Array, digest: types.Digest): types.Outcome<transfer.Manifest, types.DigestMismatchError> {
-  const found = createManifest.computeDigest(bytes)
-  if (found !== digest) return types.fail(new types.DigestMismatchError(`manifest has digest ${found}, the table pins ${digest}`))
+  const actualDigest = createManifest.computeDigest(bytes)
+  if (actualDigest !== digest) return types.fail(new types.DigestMismatchError(`manifest has digest ${actualDigest}, the table pins ${digest}`))
   try {
     const manifest = manifestSchema.parse(JSON.parse(Buffer.from(bytes).toString('utf8'))) as unknown as transfer.Manifest
     if (Math.ceil(manifest.bytes / manifest.chunkBytes) !== manifest.chunks.length) throw new Error('the number of chunks does not fit the size')
--- a/packages/transfer/src/types/index.ts
+++ b/packages/transfer/src/types/index.ts
@@ -22,13 +22,13 @@
 /** What a downloading node knows of a peer. */
 export interface PeerState extends Peer {
   readonly has: bitmaps.Bitmap
-  reach: PeerReach
+  requestScope: RequestScope
   /** Requests that this node has open at the peer. */
   outstanding: number
   /** Uploads that the peer last said to have waiting. */
   backlog: number
   /** Monotonic time in milliseconds of that word. */
-  backlogAt: number
+  backlogUpdatedAt: number
   /** Monotonic time in milliseconds until which the peer is not asked. */
   suspendedUntil: number
   failures: number
@@ -39,26 +39,26 @@
   /** Whether chunks that few known peers hold go first. */
   readonly prefersRare: boolean
   /** Monotonic time in milliseconds at which the chunk may leave the origin; rises with the chunk's number. */
-  readonly slotAt: (chunk: number) => number
+  readonly originReadAt: (chunk: number) => number
   /** Whether this node is the one that reads the chunk from the origin. */
   readonly readsOrigin: (chunk: number) => boolean
   /** Which chunks this node may ask a peer for; `imported` are those that it brings into its data hall. */
-  readonly reach: (peer: Peer) => PeerReach
+  readonly requestScopeOf: (peer: Peer) => RequestScope
   /** Whether this node brings the chunk into its data hall. */
   readonly isImporter: (chunk: number) => boolean
   /** Nodes told at once when this node has obtained the chunk. */
-  readonly announceTo: (chunk: number) => readonly types.NodeId[]
+  readonly findAnnounceTargets: (chunk: number) => readonly types.NodeId[]
   /** The node that should have provided the chunk by now, if it is this node's turn to take over from it. */
-  readonly overdueFrom: (chunk: number, now: number) => types.NodeId | null
+  readonly findOverdueProvider: (chunk: number, now: number) => types.NodeId | null
   /** The node of this hall that any other one may ask for the chunk; null when that is this node itself. */
-  readonly importerOf: (chunk: number) => types.NodeId | null
+  readonly findImporter: (chunk: number) => types.NodeId | null
   /** Makes this node the reader of a chunk that its provider gave up; false when the allowance forbids it. */
   readonly takeOver: (chunk: number, provider: types.NodeId) => boolean
   /** Gives a chunk up to the next node in order. */
   readonly release: (chunk: number) => void
 }
 
-export type PeerReach = 'everything' | 'imported' | 'nothing'
+export type RequestScope = 'everything' | 'imported' | 'nothing'
 
 /** What became of a chunk at the node that should provide it. */
 export type ProviderAnswer = 'has' | 'reading' | 'released' | 'unreachable'
