--- a/packages/routing/src/createAccountLimiter/index.ts
+++ b/packages/routing/src/createAccountLimiter/index.ts
@@ -1,18 +1,19 @@
-/** Limits of client accounts over all entry nodes, without a coordinator. */
+/** Enforces the call rates of client accounts across all entry nodes without a coordinator: each entry node admits a fraction of the rate. */
 import * as types from '@switchridge/types'
 
-/** Limits of all accounts at one entry node. */
+/** Rate limits of all accounts at one entry node. */
 export interface AccountLimiter {
-  /** Takes one call of the account's rate; returns milliseconds to wait, 0 when the call may go on. */
+  /** Takes one call from the account's rate; returns the milliseconds to wait, or 0 when the call may proceed. */
   readonly take: (account: types.AccountId, callsPerSecond: number) => number
-  /** Sets what part of the traffic this entry node takes, from 0 to 1. */
+  /** Sets the fraction of the account's rate that this entry node admits, from 0 to 1. */
   readonly setTrafficFraction: (account: types.AccountId, fraction: number) => void
-  /** Calls taken since the last reading, by account. */
+  /** Returns the calls counted for each account since the last reading, refused ones included. */
   readonly readUsage: () => ReadonlyMap<types.AccountId, number>
 }
 
 interface Account {
   readonly bucket: types.TokenBucket
+  /** Fraction of the account's rate that this entry node admits. */
   part: number
   used: number
 }
@@ -22,10 +23,10 @@
 const MAXIMUM_ACCOUNTS = 10_000
 
 /**
- * Creates the limiter of one entry node.
+ * Creates the rate limiter of one entry node.
  *
  * @param now - Monotonic clock in milliseconds.
- * @param defaultTrafficFraction - Reads the part of an account that has none set, for example one over the number of entry nodes.
+ * @param defaultTrafficFraction - Returns the fraction for an account that has none set, for example one over the number of entry nodes.
  * @returns The limiter.
  */
 export function createAccountLimiter (now: () => number, defaultTrafficFraction: () => number): AccountLimiter {
--- a/packages/routing/src/createAdmission/index.ts
+++ b/packages/routing/src/createAdmission/index.ts
@@ -1,8 +1,8 @@
-/** Slots of one backend server: counted before any asynchronous step, never more than the limit. */
+/** Admission control of one backend server: slots are counted synchronously, so that running calls never exceed the limit. */
 import * as types from '@switchridge/types'
 import * as createFairQueue from '../createFairQueue/index.js'
 
-/** Why a call got no slot; it has not run. */
+/** Why a call got no slot. Such a call has not run. */
 export type RefusalReason = 'full' | 'leaving' | 'deadline' | 'cancelled'
 
 /** The call was refused and did not run. */
@@ -15,11 +15,11 @@
   }
 }
 
-/** A slot, or a place in the queue for one. */
+/** A request for a slot, granted, waiting or refused. */
 export interface Admitted {
-  /** Resolves with the slot's release function, or with the reason of a refusal. */
+  /** Resolves with the function that releases the slot, or with the reason for the refusal. */
   readonly slot: Promise<types.Outcome<() => void, NotRunError>>
-  /** Leaves the queue; without effect once the slot is held. */
+  /** Removes the request from the queue; has no effect once the slot is granted or refused. */
   readonly cancel: (reason: RefusalReason) => void
 }
 
@@ -28,17 +28,17 @@
   readonly running: number
   readonly waiting: number
   readonly limit: number
-  /** Calls that may wait. */
+  /** Calls that may wait at a time. */
   readonly queue: number
 }
 
 /** Admission of one backend server. */
 export interface Admission {
-  /** Counts the call at once: it runs, waits or is refused before this returns. */
+  /** Counts the call synchronously: when this returns, the call runs, waits or is refused. */
   readonly enter: (call: createFairQueue.QueuedCall) => Admitted
   readonly load: () => Load
   readonly setLimits: (limit: number, queue: number) => void
-  /** Refuses all calls that do not run yet, now and later. */
+  /** Refuses all waiting and all future calls; running calls may finish. */
   readonly leave: () => void
 }
 
@@ -47,12 +47,12 @@
 }
 
 /**
- * Creates the admission of a backend server.
+ * Creates the admission control of a backend server.
  *
- * @param limit - Calls that run at a time.
- * @param queue - Calls that wait beyond those.
- * @param onFree - Told when a slot came free and nobody waits for it.
- * @returns The admission.
+ * @param limit - Calls that may run at a time.
+ * @param queue - Calls that may wait at a time.
+ * @param onFree - Called when a slot is released and no call waits for it.
+ * @returns The admission control.
  */
 export function createAdmission (limit: number, queue: number, onFree: () => void = () => {}): Admission {
   const waiting = createFairQueue.createFairQueue<Waiter>(queue)
--- a/packages/routing/src/createAdmission/test.ts
+++ b/packages/routing/src/createAdmission/test.ts
@@ -6,13 +6,13 @@
 const CALL = { account: types.brandId<types.AccountId>('a'), share: 1, priority: 'interactive' as const }
 
 test.describe('createAdmission', () => {
-  test.it('counts before any asynchronous step', () => {
+  test.it('counts calls synchronously', () => {
     const admission = createAdmission.createAdmission(2, 1)
     for (let index = 0; index < 5; index += 1) admission.enter(CALL)
     assert.deepEqual(admission.load(), { running: 2, waiting: 1, limit: 2, queue: 1 })
   })
 
-  test.it('refuses beyond its queue at once and says that the call did not run', async () => {
+  test.it('refuses a call at once when the queue is full and reports that it did not run', async () => {
     const admission = createAdmission.createAdmission(1, 0)
     admission.enter(CALL)
     const refused = await admission.enter(CALL).slot
@@ -20,7 +20,7 @@
     assert.equal(refused.error.reason, 'full')
   })
 
-  test.it('passes a slot on to who waits, once, however often it is released', async () => {
+  test.it('passes a slot to one waiting call, even if it is released twice', async () => {
     const admission = createAdmission.createAdmission(1, 2)
     const first = await admission.enter(CALL).slot
     const second = admission.enter(CALL)
@@ -32,7 +32,7 @@
     assert.deepEqual(admission.load(), { running: 1, waiting: 1, limit: 1, queue: 2 })
   })
 
-  test.it('gives up waiting calls when it leaves and lets running ones end', async () => {
+  test.it('refuses waiting calls when it closes and lets running ones finish', async () => {
     const admission = createAdmission.createAdmission(1, 1)
     const running = await admission.enter(CALL).slot
     const waiting = admission.enter(CALL)
@@ -46,7 +46,7 @@
     assert.equal(admission.load().running, 0)
   })
 
-  test.it('forgets a call that is cancelled while it waits', async () => {
+  test.it('removes a waiting call that is cancelled', async () => {
     const admission = createAdmission.createAdmission(1, 1)
     admission.enter(CALL)
     const waiting = admission.enter(CALL)
--- a/packages/routing/src/createBackendHealth/index.ts
+++ b/packages/routing/src/createBackendHealth/index.ts
@@ -1,13 +1,13 @@
-/** Avoids backend servers that fail, and tries them again one call at a time. */
+/** Circuit breaker for backend servers: avoids those that fail and probes them with one call at a time after a backoff. */
 import type * as types from '@switchridge/types'
 
-/** Health of backend servers as one entry node sees it. */
+/** Health of the backend servers as observed by one entry node. */
 export interface BackendHealth {
   readonly noteSuccess: (node: types.NodeId) => void
   readonly noteFailure: (node: types.NodeId) => void
-  /** Whether a call may go there now; after a pause one call at a time may. */
+  /** Whether a call may be sent to the server now; after the backoff, one call at a time may. */
   readonly isUsable: (node: types.NodeId) => boolean
-  /** Notes that a call goes there, so that only one tries an avoided server. */
+  /** Records that a call is sent to the server; restarts the backoff of an avoided server, so that only one call at a time probes it. */
   readonly noteAttempt: (node: types.NodeId) => void
   readonly forget: (node: types.NodeId) => void
   readonly size: () => number
@@ -23,7 +23,7 @@
 const BACKOFF_MAXIMUM_MS = 15_000
 
 /**
- * Creates the health record; only servers that failed lately take room in it.
+ * Creates an empty health record. It stores an entry only for servers that failed since their last success.
  *
  * @param now - Monotonic clock in milliseconds.
  * @returns The record.
--- a/packages/routing/src/createBackendHealth/test.ts
+++ b/packages/routing/src/createBackendHealth/test.ts
@@ -6,7 +6,7 @@
 const NODE = types.brandId<types.NodeId>('a')
 
 test.describe('createBackendHealth', () => {
-  test.it('avoids a server after failures in a row and lets one call at a time try it again', () => {
+  test.it('avoids a server after consecutive failures, then lets one call at a time probe it', () => {
     let now = 0
     const health = routing.createBackendHealth(() => now)
     health.noteFailure(NODE)
@@ -24,7 +24,7 @@
 })
 
 test.describe('createRetryBudget', () => {
-  test.it('never lets extra attempts exceed the reserve and the share of calls', () => {
+  test.it('limits extra attempts to the reserve plus a fraction of the calls', () => {
     const budget = routing.createRetryBudget(0.1)
     let spent = 0
     for (let call = 0; call < 1000; call += 1) {
--- a/packages/routing/src/createBackendLoads/index.ts
+++ b/packages/routing/src/createBackendLoads/index.ts
@@ -1,7 +1,7 @@
-/** What an entry node knows of the load of backend servers: their last word, and what it sent since. */
+/** Load of the backend servers as known to an entry node: their last report plus the calls sent since then. */
 import type * as types from '@switchridge/types'
 
-/** Load as a backend daemon states it on answers and heartbeats. */
+/** Load that a backend daemon reports with answers and heartbeats. */
 export interface StatedLoad {
   readonly running: number
   readonly waiting: number
@@ -9,23 +9,23 @@
   readonly queue: number
 }
 
-/** A backend server to choose from. */
+/** A backend server that may be chosen for a call. */
 export interface Candidate {
   readonly node: types.NodeId
-  /** Calls that run or wait there, as far as this entry node knows. */
+  /** Calls that run or wait on the server, as far as this entry node knows. */
   readonly load: number
-  /** Calls that run there at a time. */
+  /** Calls that may run on the server at a time. */
   readonly limit: number
-  /** Calls that may wait there. */
+  /** Calls that may wait on the server at a time. */
   readonly queue: number
-  /** Load as last stated, without what was sent since. */
+  /** Load from the last report, without the calls sent since then. */
   readonly statedLoad: number
 }
 
 /** The loads of all backend servers. */
 export interface BackendLoads {
   readonly noteSent: (node: types.NodeId) => void
-  /** Notes the end of an attempt, with the load stated on its answer if there was one. */
+  /** Records the end of an attempt, with the load reported in its answer, if any. */
   readonly noteEnded: (node: types.NodeId, reported?: StatedLoad) => void
   readonly noteStated: (node: types.NodeId, reported: StatedLoad) => void
   readonly readCandidate: (node: types.NodeId, limit: number, queue: number) => Candidate
@@ -40,9 +40,9 @@
 }
 
 /**
- * Creates an empty record of loads.
+ * Creates an empty load record.
  *
- * @returns The loads.
+ * @returns The load record.
  */
 export function createBackendLoads (): BackendLoads {
   const entries = new Map<types.NodeId, Entry>()
--- a/packages/routing/src/createFairQueue/index.ts
+++ b/packages/routing/src/createFairQueue/index.ts
@@ -1,7 +1,7 @@
-/** A bounded queue: interactive calls before batch ones, client accounts by their shares, the least important refused first. */
+/** Bounded weighted fair queue: serves interactive calls before batch calls and client accounts in proportion to their shares; when full, it evicts the call that would be served last. */
 import type * as types from '@switchridge/types'
 
-/** What the queue knows of a call. */
+/** Properties of a call that determine its place in the queue. */
 export interface QueuedCall {
   readonly account: types.AccountId
   /** Weight of the account, above 0. */
@@ -9,14 +9,14 @@
   readonly priority: 'interactive' | 'batch'
 }
 
-/** A queue of items with their calls. */
+/** A queue of items, each with the call that determines its place. */
 export interface FairQueue<Item> {
-  /** Adds an item; returns the item that had to go for it, which may be the same one. */
+  /** Adds an item; returns the item evicted if the queue was full, which may be the added one. */
   readonly push: (item: Item, call: QueuedCall) => Item | undefined
   readonly pop: () => Item | undefined
-  /** The item that `pop` would take. */
+  /** Returns the item that `pop` would take. */
   readonly peek: () => Item | undefined
-  /** Takes an item out; false when it is not in the queue. */
+  /** Removes an item; returns false when it is not in the queue. */
   readonly remove: (item: Item) => boolean
   readonly size: () => number
   readonly setCapacity: (capacity: number) => void
@@ -25,14 +25,14 @@
 interface QueueEntry<Item> {
   readonly item: Item
   readonly call: QueuedCall
-  /** Virtual time at which the call would end if its account had only its share. */
+  /** Virtual finish time: when the call would end if its account were served at exactly its share. */
   readonly finish: number
 }
 
 /**
  * Creates an empty queue.
  *
- * @param capacity - Most items that wait.
+ * @param capacity - Maximum number of waiting items.
  * @returns The queue.
  */
 export function createFairQueue<Item> (capacity: number): FairQueue<Item> {
@@ -61,7 +61,7 @@
     waiting.splice(low, 0, entry)
   }
 
-  /** Takes the least important item; its account gets back the time that it was charged. */
+  /** Removes the item that would be served last and refunds its account the virtual time charged for it. */
   function evictLast (): Item | undefined {
     const last = waiting.pop()
     if (last === undefined) return undefined
--- a/packages/routing/src/createFairQueue/test.ts
+++ b/packages/routing/src/createFairQueue/test.ts
@@ -8,7 +8,7 @@
   ({ account: types.brandId(account), share, priority })
 
 test.describe('createFairQueue', () => {
-  test.it('serves a small account beside a flood of a large one', () => {
+  test.it('serves a small account while a large one floods the queue', () => {
     const queue = createFairQueue.createFairQueue<string>(1000)
     for (let index = 0; index < 100; index += 1) queue.push(`large-${index}`, createCall('large'))
     queue.push('small-0', createCall('small'))
@@ -16,14 +16,14 @@
     assert.ok(first.includes('small-0'))
   })
 
-  test.it('refuses the flood, not the small account, when it is full', () => {
+  test.it('evicts calls of the flooding account, not of the small one, when it is full', () => {
     const queue = createFairQueue.createFairQueue<string>(4)
     for (let index = 0; index < 4; index += 1) queue.push(`large-${index}`, createCall('large'))
     assert.equal(queue.push('small-0', createCall('small')), 'large-3')
     assert.equal(queue.push('large-4', createCall('large')), 'large-4')
   })
 
-  test.it('takes interactive calls before batch and refuses batch first', () => {
+  test.it('serves interactive calls before batch calls and evicts batch calls first', () => {
     const queue = createFairQueue.createFairQueue<string>(2)
     queue.push('batch-0', createCall('a', 1, 'batch'))
     queue.push('batch-1', createCall('b', 1, 'batch'))
@@ -31,7 +31,7 @@
     assert.equal(queue.pop(), 'now')
   })
 
-  test.it('shares in proportion while all accounts have work', () => {
+  test.it('serves accounts in proportion to their shares while all have waiting calls', () => {
     const queue = createFairQueue.createFairQueue<string>(10_000)
     for (let index = 0; index < 300; index += 1) {
       queue.push('one', createCall('one', 1))
@@ -42,7 +42,7 @@
     assert.ok(servedOfThree >= 148 && servedOfThree <= 152, `${servedOfThree} of 200`)
   })
 
-  test.it('loses no item and invents none', () => {
+  test.it('returns exactly the items that were added', () => {
     const operation = fc.oneof(
       fc.record({ kind: fc.constant('push' as const), account: fc.constantFrom('a', 'b', 'c'), batch: fc.boolean() }),
       fc.record({ kind: fc.constant('pop' as const) }),
--- a/packages/routing/src/createRetryBudget/index.ts
+++ b/packages/routing/src/createRetryBudget/index.ts
@@ -1,21 +1,22 @@
-/** Bounds extra attempts to a share of calls, so that retries cannot multiply an overload. */
+/** Limits extra attempts to a fraction of the calls, so that retries cannot amplify an overload. */
 
-/** The budget of one service at one entry node. */
+/** The retry budget of one service at one entry node. */
 export interface RetryBudget {
-  /** Notes a call; it earns a part of an extra attempt. */
+  /** Records a call, which adds a fraction of an extra attempt to the budget. */
   readonly earn: () => void
-  /** Takes one extra attempt if the budget has it. */
+  /** Takes one extra attempt from the budget; returns false when less than one is left. */
   readonly trySpend: () => boolean
   readonly setRatio: (ratio: number) => void
 }
 
+/** Extra attempts that the budget allows beyond the fraction of calls. */
 const RESERVE_ATTEMPTS = 5
 
 /**
- * Creates a budget.
+ * Creates a retry budget.
  *
- * @param ratio - Extra attempts as a share of calls, 0.1 for one in ten.
- * @returns The budget, with a small reserve to begin with.
+ * @param ratio - Extra attempts as a fraction of calls; 0.1 allows one for every ten calls.
+ * @returns The budget, which starts with a small reserve.
  */
 export function createRetryBudget (ratio: number): RetryBudget {
   let balance = RESERVE_ATTEMPTS * Math.min(1, ratio * 10)
--- a/packages/routing/src/createTickets/index.ts
+++ b/packages/routing/src/createTickets/index.ts
@@ -1,28 +1,29 @@
-/** One ticket for each attempt: it tells truthfully whether the attempt ran, also when question and delivery cross. */
+/** Tracks attempts by ticket, one for each attempt, so that a query for an attempt is answered reliably even when it arrives before the attempt itself. */
 import * as lruCache from 'lru-cache'
 import type * as types from '@switchridge/types'
 
 /**
- * `running` and `ran`: the back end was asked. `not-run`: it was not and never will be.
+ * `running` and `ran`: the attempt was passed to the back end. `not-run`: it was not and never will be.
  */
 export type TicketState = 'running' | 'ran' | 'not-run'
 
-/** The tickets of one life of a backend daemon. */
+/** The tickets of one process of a backend daemon. */
 export interface Tickets {
-  /** Opens a ticket for a delivery; false when the ticket was closed or used before, and the delivery must not run. */
+  /** Opens the ticket of a received attempt; returns false when the ticket was used or closed before, in which case the attempt must not run. */
   readonly open: (ticket: types.TicketId) => boolean
-  /** Notes that the attempt ended without the back end being asked. */
+  /** Records that the attempt ended without being passed to the back end. */
   readonly refuse: (ticket: types.TicketId) => void
   readonly finish: (ticket: types.TicketId) => void
-  /** Answers what became of a ticket; one that was never seen is closed by the question. */
+  /** Returns the state of a ticket. An unknown ticket is closed as `not-run`, so that its attempt is refused if it arrives later. */
   readonly resolve: (ticket: types.TicketId) => TicketState
   readonly size: () => number
 }
 
 /** Options of {@link createTickets}. */
 export interface TicketOptions {
-  /** Milliseconds for which an ended ticket is remembered; longer than any delivery may be under way. */
+  /** Milliseconds for which an ended ticket is kept; must be longer than any attempt can be in transit. */
   readonly retentionMs?: number
+  /** Maximum number of ended tickets that are kept. */
   readonly maximumEnded?: number
 }
 
@@ -30,10 +31,10 @@
 const DEFAULT_MAXIMUM_ENDED = 200_000
 
 /**
- * Creates the tickets of a daemon.
+ * Creates the ticket record of a daemon.
  *
- * @param options - How long and how many ended tickets are remembered.
- * @returns The tickets; running ones are never forgotten.
+ * @param options - How long and how many ended tickets are kept.
+ * @returns The ticket record; tickets of running attempts are never evicted.
  */
 export function createTickets (options: TicketOptions = {}): Tickets {
   const running = new Set<types.TicketId>()
--- a/packages/routing/src/createTickets/test.ts
+++ b/packages/routing/src/createTickets/test.ts
@@ -6,14 +6,14 @@
 const TICKET = types.brandId<types.TicketId>('t1')
 
 test.describe('createTickets', () => {
-  test.it('refuses a delivery that arrives after the question about it', () => {
+  test.it('refuses an attempt that arrives after a query for it', () => {
     const tickets = createTickets.createTickets()
     assert.equal(tickets.resolve(TICKET), 'not-run')
     assert.equal(tickets.open(TICKET), false)
     assert.equal(tickets.resolve(TICKET), 'not-run')
   })
 
-  test.it('runs a delivery that comes twice only once', () => {
+  test.it('runs an attempt that is delivered twice only once', () => {
     const tickets = createTickets.createTickets()
     assert.equal(tickets.open(TICKET), true)
     assert.equal(tickets.open(TICKET), false)
@@ -23,7 +23,7 @@
     assert.equal(tickets.resolve(TICKET), 'ran')
   })
 
-  test.it('says not-run for an attempt that was refused', () => {
+  test.it('reports not-run for a refused attempt', () => {
     const tickets = createTickets.createTickets()
     tickets.open(TICKET)
     tickets.refuse(TICKET)
@@ -31,7 +31,7 @@
     assert.equal(tickets.open(TICKET), false)
   })
 
-  test.it('forgets ended tickets beyond its bound, running ones never', () => {
+  test.it('evicts ended tickets beyond the maximum, but never running ones', () => {
     const tickets = createTickets.createTickets({ maximumEnded: 10 })
     tickets.open(TICKET)
     for (let index = 0; index < 100; index += 1) tickets.resolve(types.brandId<types.TicketId>(`other-${index}`))
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,4 +1,4 @@
-/** Decisions about calls: admission, tickets, choice of backend server, retries, shares. */
+/** Decisions about calls: admission control, attempt tickets, backend server selection, retry budgets, account limits. */
 export * from './createAccountLimiter/index.js'
 export * from './createAdmission/index.js'
 export * from './createBackendHealth/index.js'
--- a/packages/routing/src/pickBackend/index.ts
+++ b/packages/routing/src/pickBackend/index.ts
@@ -1,22 +1,22 @@
-/** Ways to choose a backend server; they are passed as arguments and measured in the same run. */
+/** Policies for choosing a backend server. They are passed as arguments, so that they can be compared in the same run. */
 import * as membership from '@switchridge/membership'
 import type * as createBackendLoads from '../createBackendLoads/index.js'
 
 type Candidate = createBackendLoads.Candidate
 
-/** Chooses a candidate, or null to let the call wait at the entry node. */
+/** Chooses a candidate, or null to make the call wait at the entry node. */
 export type PickBackend = (candidates: readonly Candidate[], random: () => number, affinity: string) => Candidate | null
 
-/** Takes any candidate. */
+/** Takes a random candidate. */
 export const pickRandom: PickBackend = (candidates, random) => candidates[Math.floor(random() * candidates.length)] ?? null
 
-/** Takes the one with the least load as last stated, and ignores what was sent since. */
+/** Takes the candidate with the lowest reported load and ignores the calls sent since the report. */
 export const pickLeastStated: PickBackend = (candidates, random) => pickLeast(candidates, random, (candidate) => candidate.statedLoad / candidate.limit)
 
-/** Takes the one with the least load, counting what this entry node sent since the last word. */
+/** Takes the candidate with the lowest load, including the calls that this entry node sent since the last report. */
 export const pickLeastLoaded: PickBackend = (candidates, random) => pickLeast(candidates, random, (candidate) => candidate.load / candidate.limit)
 
-/** Takes the better of two random candidates. */
+/** Takes the less loaded of two random candidates. */
 export const pickTwoChoices: PickBackend = (candidates, random) => {
   if (candidates.length < 2) return candidates[0] ?? null
   const first = Math.floor(random() * candidates.length)
@@ -24,7 +24,7 @@
   return pickLeastLoaded([candidates[first] as Candidate, candidates[second] as Candidate], random, '')
 }
 
-/** Takes the least loaded one that has a free slot or room in its short queue; else the call waits at the entry node. */
+/** Takes a candidate with a free slot, by affinity, or else the least loaded one with room in its queue; otherwise the call waits at the entry node. */
 export const pickLateBinding: PickBackend = (candidates, random, affinity) => {
   const withFreeSlot = candidates.filter((candidate) => candidate.load < candidate.limit)
   if (withFreeSlot.length > 0) return pickByAffinity(withFreeSlot, random, affinity)
@@ -32,9 +32,10 @@
   return pickLeastLoaded(withQueueRoom, random, affinity)
 }
 
+/** Load of a candidate, relative to the average, up to which it is chosen for its prefixes. */
 const AFFINITY_LOAD_FACTOR = 1.25
 
-/** Takes the candidate that rendezvous hashing names for the prefix, unless it has more than its bounded part of the load. */
+/** Takes the highest-ranked candidate for the prefix by rendezvous hashing whose load does not exceed the bound, or else the least loaded one. */
 export const pickByAffinity: PickBackend = (candidates, random, affinity) => {
   if (affinity === '') return pickLeastLoaded(candidates, random, affinity)
   const total = candidates.reduce((sum, candidate) => sum + candidate.load / candidate.limit, 0)
--- a/packages/routing/src/pickBackend/test.ts
+++ b/packages/routing/src/pickBackend/test.ts
@@ -7,13 +7,13 @@
 const alwaysZero = (): number => 0
 
 test.describe('pickBackend', () => {
-  test.it('lets a call wait only when no slot and no place is left', () => {
+  test.it('lets a call wait at the entry node only when all slots and queues are full', () => {
     assert.equal(routing.pickLateBinding([createCandidate('a', 4), createCandidate('b', 3)], alwaysZero, '')?.node, 'b')
     assert.equal(routing.pickLateBinding([createCandidate('a', 4), createCandidate('b', 5)], alwaysZero, '')?.node, 'a')
     assert.equal(routing.pickLateBinding([createCandidate('a', 5), createCandidate('b', 5)], alwaysZero, ''), null)
   })
 
-  test.it('keeps a prefix on one backend server until that one has more than its part', () => {
+  test.it('keeps a prefix on one backend server until its load exceeds the bound', () => {
     const idle = ['a', 'b', 'c'].map((node) => createCandidate(node, 0))
     const preferred = routing.pickByAffinity(idle, alwaysZero, 'prefix')?.node
     assert.equal(routing.pickByAffinity([...idle].reverse(), alwaysZero, 'prefix')?.node, preferred)
@@ -21,7 +21,7 @@
     assert.notEqual(routing.pickByAffinity(loaded, alwaysZero, 'prefix')?.node, preferred)
   })
 
-  test.it('counts what was sent since the last word', () => {
+  test.it('counts calls sent since the last load report', () => {
     const loads = routing.createBackendLoads()
     const node = types.brandId<types.NodeId>('a')
     loads.noteStated(node, { running: 2, waiting: 0, limit: 4, queue: 1 })
--- a/packages/transfer/src/_lib/bitmap.ts
+++ b/packages/transfer/src/_lib/bitmap.ts
@@ -1,4 +1,4 @@
-/** A set of chunk numbers, one bit each. */
+/** A set of chunk numbers, stored as one bit per chunk. */
 
 export type Bitmap = Uint8Array
 
@@ -26,13 +26,13 @@
   return Buffer.from(bitmap.buffer, bitmap.byteOffset, bitmap.byteLength).toString('base64')
 }
 
-/** Decodes a bitmap for `size` chunks; null when the text has another length. */
+/** Decodes a base64 bitmap for `size` chunks; returns null when its length differs. */
 export function decodeBitmap (text: string, size: number): Bitmap | null {
   const bytes = Buffer.from(text, 'base64')
   return bytes.length === Math.ceil(size / BITS_PER_BYTE) ? bytes : null
 }
 
-/** Counts the bits that are set; none for null. */
+/** Counts the bits that are set; returns 0 for null. */
 export function countBits (bitmap: Bitmap | null): number {
   let count = 0
   for (const byte of bitmap ?? []) {
--- a/packages/transfer/src/chooseRequest/index.ts
+++ b/packages/transfer/src/chooseRequest/index.ts
@@ -1,30 +1,31 @@
-/** Chooses the next chunk and the peer to ask for it. */
+/** Chooses the next chunk to request and the peer to request it from. */
 import * as bitmaps from '../_lib/bitmap.js'
 import type * as transfer from '../types/index.js'
 
-/** A request to make. */
+/** A request to send. */
 export interface ChunkRequest {
   readonly chunk: number
   readonly peer: transfer.PeerState
 }
 
-/** What the choice depends on. */
+/** Inputs of the choice. */
 export interface ChoiceState {
-  /** Chunks that the node lacks and has not asked for. */
+  /** Chunks that the node neither holds nor has requested. */
   readonly wanted: bitmaps.Bitmap
-  /** Chunks that the node brings into its data hall. */
+  /** Chunks that the node imports into its data hall. */
   readonly imported: bitmaps.Bitmap
   readonly peers: readonly transfer.PeerState[]
-  /** Number of known holders by chunk. */
+  /** Number of known holders of each chunk. */
   readonly holders: ArrayLike<number>
-  /** Fixed random number of this node by chunk, from 0 to 1; it breaks ties differently on each node. */
+  /** Fixed random number for each chunk, from 0 to 1, so that each node breaks ties differently. */
   readonly tieBreakers: ArrayLike<number>
+  /** Whether chunks with few known holders are requested first. */
   readonly rarestFirst: boolean
   /** Monotonic time in milliseconds. */
   readonly now: number
-  /** Requests that may be open at one peer. */
+  /** Maximum number of open requests to one peer. */
   readonly requestsPerPeer: number
-  /** Milliseconds in which a peer works off one upload. */
+  /** Estimated milliseconds that a peer needs for one upload; 0 when unknown. */
   readonly uploadMs: number
   /** Random number from 0 to 1. */
   readonly random: () => number
@@ -35,15 +36,15 @@
   readonly load: number
 }
 
-/** Difference in load within which peers count as equally busy. */
+/** Difference in load, in uploads, within which peers count as equally loaded. */
 const LOAD_TOLERANCE = 1
 
 /**
- * Chooses the next request. The least busy peers come first, so that no uplink idles while another has a
- * queue; among what they hold the rarest chunk is taken, so that what few nodes hold spreads.
+ * Chooses the next request. The least loaded peers come first, so that no uplink is idle while another has a
+ * queue; of the chunks that they hold, the rarest is taken, so that chunks with few holders spread.
  *
- * @param state - Chunks wanted and peers known.
- * @returns The request, or null while no known peer can give a wanted chunk.
+ * @param state - Wanted chunks and known peers.
+ * @returns The request, or null while no available peer holds a wanted chunk.
  */
 export function chooseRequest (state: ChoiceState): ChunkRequest | null {
   const candidates = state.peers
@@ -63,7 +64,7 @@
   return null
 }
 
-/** Uploads that wait at a peer now: its last word, less what it has worked off since, and what this node asked for. */
+/** Estimates the uploads waiting at a peer: the reported backlog, less the uploads completed since, plus this node's open requests. */
 function estimateLoad (state: ChoiceState, peer: transfer.PeerState): number {
   const completedSince = state.uploadMs > 0 ? (state.now - peer.backlogUpdatedAt) / state.uploadMs : 0
   return Math.max(0, peer.backlog - completedSince) + 2 * peer.outstanding + state.random() * LOAD_TOLERANCE
@@ -73,7 +74,7 @@
   return peer.requestScope !== 'nothing' && peer.suspendedUntil <= state.now && peer.outstanding < state.requestsPerPeer
 }
 
-/** Wanted chunks that some able peer may be asked for. */
+/** Wanted chunks that may be requested from at least one of the peers. */
 function findAvailableChunks (state: ChoiceState, peers: readonly transfer.PeerState[]): bitmaps.Bitmap {
   const available = new Uint8Array(state.wanted.length)
   for (const peer of peers) {
@@ -102,7 +103,7 @@
   return best
 }
 
-/** Takes the first holder; the peers are in order of their load. */
+/** Takes the first holder of the chunk; the peers are sorted by load. */
 function choosePeer (state: ChoiceState, peers: readonly transfer.PeerState[], chunk: number): transfer.PeerState | null {
   const isImported = bitmaps.hasBit(state.imported, chunk)
   return peers.find((peer) => bitmaps.hasBit(peer.has, chunk) && (peer.requestScope === 'everything' || isImported)) ?? null
--- a/packages/transfer/src/createChunkStore/index.ts
+++ b/packages/transfer/src/createChunkStore/index.ts
@@ -1,10 +1,10 @@
-/** Chunks in memory, each checked by its digest before it is kept and shared between versions. */
+/** Stores chunks in memory. Each chunk is verified against its digest before it is stored, and versions with equal chunks share them. */
 import * as types from '@switchridge/types'
 import * as bitmaps from '../_lib/bitmap.js'
 import * as createManifest from '../createManifest/index.js'
 import type * as transfer from '../types/index.js'
 
-/** The chunks of one version. */
+/** The chunks of one version that the node holds. */
 export interface Holding {
   readonly digest: types.Digest
   readonly manifest: transfer.Manifest
@@ -13,23 +13,23 @@
   readonly isComplete: () => boolean
   readonly has: (chunk: number) => boolean
   readonly get: (chunk: number) => Buffer | undefined
-  /** Keeps the bytes if they match the digest of the chunk. */
+  /** Stores the bytes if they match the digest of the chunk. */
   readonly put: (chunk: number, bytes: Buffer) => types.Outcome<null, types.DigestMismatchError>
   readonly missing: () => number[]
 }
 
-/** All versions that the node holds, whole or in part. */
+/** All versions that the node holds, completely or partially. */
 export interface ChunkStore {
-  /** Makes room for a version and takes over the chunks that other versions share with it. */
+  /** Reserves memory for a version and adds the chunks that it shares with versions already held. */
   readonly open: (digest: types.Digest, manifest: transfer.Manifest) => types.Outcome<Holding, StoreFullError>
   readonly find: (digest: types.Digest) => Holding | undefined
   readonly drop: (digest: types.Digest) => void
   readonly digests: () => readonly types.Digest[]
-  /** Bytes of chunks held now. */
+  /** Bytes of all chunks held. */
   readonly usedBytes: () => number
 }
 
-/** The setting for chunk memory does not leave room for the version. */
+/** The version does not fit in the memory configured for chunks. */
 export class StoreFullError extends types.SwitchridgeError {}
 
 interface SharedChunk {
@@ -40,7 +40,7 @@
 /**
  * Creates an empty store.
  *
- * @param memoryBytes - Most bytes of chunks that all versions together may need.
+ * @param memoryBytes - Maximum bytes that the chunks of all versions together may need.
  * @returns The store.
  */
 export function createChunkStore (memoryBytes: number): ChunkStore {
@@ -103,7 +103,7 @@
     }
   }
 
-  /** What all open versions need when complete, each shared chunk counted once. */
+  /** Bytes that all open versions and the given one need when complete; a shared chunk counts once. */
   function computeRequiredBytes (manifest: transfer.Manifest): number {
     const sizes = new Map<types.Digest, number>()
     for (const each of [...holdings.values()].map((holding) => holding.manifest).concat(manifest)) {
--- a/packages/transfer/src/createChunkStore/test.ts
+++ b/packages/transfer/src/createChunkStore/test.ts
@@ -11,7 +11,7 @@
 }
 
 test.describe('createChunkStore', () => {
-  test.it('drops bytes that do not match and completes with those that do', async () => {
+  test.it('rejects bytes that do not match the digest and completes with those that do', async () => {
     const { manifest, digest } = await createVersion('aaaabbbbcc')
     const store = transfer.createChunkStore(100)
     const opened = store.open(digest, manifest)
@@ -23,7 +23,7 @@
     assert.equal(store.usedBytes(), 10)
   })
 
-  test.it('takes over shared chunks and frees them with their last version', async () => {
+  test.it('shares chunks between versions and frees them with the last one', async () => {
     const first = await createVersion('aaaabbbb')
     const second = await createVersion('bbbbcccc')
     const store = transfer.createChunkStore(100)
@@ -41,13 +41,13 @@
     assert.equal(store.usedBytes(), 0)
   })
 
-  test.it('refuses a version that its memory cannot hold', async () => {
+  test.it('refuses a version that does not fit in its memory', async () => {
     const { manifest, digest } = await createVersion('aaaabbbbccccdddd')
     const outcome = transfer.createChunkStore(8).open(digest, manifest)
     assert.ok(!outcome.ok && outcome.error instanceof transfer.StoreFullError)
   })
 
-  test.it('takes a manifest only under the digest that pins it', async () => {
+  test.it('accepts a manifest only under its own digest', async () => {
     const { manifest, digest } = await createVersion('aaaabbbb')
     const other = await createVersion('aaaacccc')
     assert.ok(transfer.parseManifest(transfer.formatManifest(manifest), digest).ok)
--- a/packages/transfer/src/createDownload/index.ts
+++ b/packages/transfer/src/createDownload/index.ts
@@ -1,4 +1,4 @@
-/** Fetches one version: asks peers and, where it is this node's part, the origin. */
+/** Downloads one version from peers and, for the chunks that the policy assigns to this node, from the origin. */
 import * as types from '@switchridge/types'
 import * as bitmaps from '../_lib/bitmap.js'
 import * as chooseRequest from '../chooseRequest/index.js'
@@ -9,12 +9,12 @@
 import * as parseManifest from '../parseManifest/index.js'
 import type * as transfer from '../types/index.js'
 
-/** Requests to other processes, as functions, so that tests can stand in for them. */
+/** Requests to other processes, passed as functions so that tests can replace them. */
 export interface DownloadRequests {
   readonly fetchChunk: (peer: transfer.Peer, digest: types.Digest, chunk: number, have: string, timeoutMs: number, signal: AbortSignal) => Promise<fetchChunk.ChunkAnswer>
   readonly fetchOrigin: (source: string, from: number, length: number, timeoutMs: number, signal: AbortSignal) => Promise<fetchChunk.OriginAnswer>
   readonly announce: (peer: transfer.Peer, digest: types.Digest, have: string) => void
-  /** Asks what became of a chunk; only who would take it over causes its release. */
+  /** Queries a provider for the state of a chunk. The provider gives the chunk up only if the requester would take it over. */
   readonly askProvider: (peer: transfer.Peer, digest: types.Digest, chunk: number, wouldTakeOver: boolean) => Promise<transfer.ProviderAnswer>
 }
 
@@ -25,21 +25,22 @@
   readonly source: string
   readonly requests: DownloadRequests
   readonly downlink: createLinkPacer.LinkPacer
+  /** Maximum number of open requests to one peer. */
   readonly requestsPerPeer: number
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
   /** Random number from 0 to 1. */
   readonly random: () => number
-  /** Called when a peer had no slot. */
+  /** Called when a peer refused a request. */
   readonly onRefused: () => void
-  /** Called when a chunk arrived from a peer. */
+  /** Called when a chunk from a peer was verified and stored. */
   readonly onReceived: () => void
-  /** Called when a slot came free or something new is known. */
+  /** Called when another request may be possible: one ended, or a new holder is known. */
   readonly onProgress: () => void
   readonly onEvent: (event: DownloadEvent) => void
 }
 
-/** Something worth a line in the log or a count. */
+/** An event to log and count. */
 export interface DownloadEvent {
   readonly event: 'peer-failed' | 'chunk-corrupt' | 'origin-failed' | 'origin-corrupt' | 'took-over'
   readonly digest: types.Digest
@@ -48,7 +49,7 @@
   readonly reason: string
 }
 
-/** Counts of one download. */
+/** Counters of one download. */
 export interface DownloadCounts {
   originBytes: number
   peerBytes: number
@@ -57,29 +58,30 @@
   refused: number
   corrupt: number
   failed: number
-  /** Requests made a second time because the first one was slow. */
+  /** Chunks requested a second time because the first request was slow. */
   hedged: number
   announcements: number
 }
 
-/** One version on its way. */
+/** The download of one version. */
 export interface Download {
   readonly digest: types.Digest
   readonly holding: createChunkStore.Holding
   readonly counts: DownloadCounts
   readonly setPolicy: (policy: transfer.TransferPolicy, peers: readonly transfer.Peer[]) => void
-  /** Requests whose bytes have not passed the link yet. */
+  /** Number of requests whose bytes have not all passed the link yet. */
   readonly openRequests: () => number
-  /** Starts one request if one makes sense now. */
+  /** Starts one request if possible; returns whether it did. */
   readonly startRequest: () => boolean
-  /** Looks for chunks whose provider is late; call it a few times a second. */
+  /** Hedges slow requests and queries the providers of overdue chunks; to be called a few times per second. */
   readonly checkOverdue: () => void
+  /** Records the bitmap that a node sent, in base64. */
   readonly noteHave: (node: types.NodeId, have: string) => void
-  /** Notes that a node holds a chunk. */
+  /** Records that a node holds a chunk. */
   readonly noteHolder: (node: types.NodeId, chunk: number) => void
-  /** A few nodes known to hold a chunk. */
+  /** Returns a few nodes known to hold a chunk. */
   readonly findHolders: (chunk: number) => readonly types.NodeId[]
-  /** Answers another node that asks what became of a chunk. */
+  /** Answers the query of another node for the state of a chunk; `successor` is the node that would take it over, if any. */
   readonly answerProviderQuery: (chunk: number, successor: types.NodeId | null) => transfer.ProviderAnswer
   readonly stop: () => void
 }
@@ -88,7 +90,7 @@
 const MINIMUM_TIMEOUT_MS = 3000
 const MAXIMUM_TIMEOUT_MS = 10_000
 const ORIGIN_TIMEOUT_MS = 30_000
-/** A request that takes this many times as long as others is made a second time elsewhere. */
+/** A request that takes this many times the average is hedged: the chunk is requested from another peer, too. */
 const HEDGE_FACTOR = 3
 const MINIMUM_HEDGE_MS = 1000
 const TIMEOUT_FACTOR = 8
@@ -96,9 +98,9 @@
 const ORIGIN_SUSPEND_BASE_MS = 500
 const ORIGIN_SUSPEND_MAXIMUM_MS = 30_000
 const PROVIDER_QUERY_INTERVAL_MS = 1500
-/** A chunk that was given up to one node is not given to another one before this time. */
+/** Milliseconds for which a chunk released to one node is not released to another. */
 const RELEASE_RESERVATION_MS = 10_000
-/** Importers asked at a time by a node that has nothing else to do. */
+/** Maximum number of importers that a node without open requests queries per check. */
 const IMPORTER_QUERIES_WHEN_IDLE = 4
 const REFUSAL_BACKOFF_MS = 15
 const MAXIMUM_ORIGIN_REQUESTS = 2
@@ -112,8 +114,8 @@
 /**
  * Creates the download of one version.
  *
- * @param options - Where chunks are kept and how they are fetched.
- * @returns The download; nothing is fetched before it has a policy.
+ * @param options - Where chunks are stored and how they are fetched.
+ * @returns The download; it fetches nothing until it has a policy.
  */
 export function createDownload (options: DownloadOptions): Download {
   const { holding, requests, now } = options
@@ -122,14 +124,17 @@
   const counts: DownloadCounts = { originBytes: 0, peerBytes: 0, otherHallBytes: 0, requests: 0, refused: 0, corrupt: 0, failed: 0, hedged: 0, announcements: 0 }
   const peers = createPeerRegistry.createPeerRegistry(chunkCount, options.random)
   const tieBreakers = Float64Array.from({ length: chunkCount }, options.random)
+  /** Chunks to request: neither held nor requested, or to be hedged. */
   const wanted = bitmaps.createBitmap(chunkCount)
   for (const chunk of holding.missing()) bitmaps.setBit(wanted, chunk)
+  /** Chunks that this node imports into its data hall. */
   let imported = bitmaps.createBitmap(chunkCount)
+  /** Bytes of chunks whose origin reads were cut short. */
   const partialChunks = new Map<number, Buffer>()
   const nextProviderQueryAt = new Map<number, number>()
   const requestStartedAt = new Map<number, number>()
   const hedged = new Set<number>()
-  /** Chunks that this node gave up to the next one in order. */
+  /** Chunks that this node released to the next one in order. */
   const released = new Map<number, Release>()
   const abort = new AbortController()
   let policy: transfer.TransferPolicy | null = null
@@ -236,7 +241,7 @@
     options.onEvent({ event: 'chunk-corrupt', digest, chunk, from: peer.node, reason: stored.error.message })
   }
 
-  /** A peer is slow when it takes several times as long as peers do on average. */
+  /** A request times out after several times the average duration of requests, within fixed bounds. */
   function computeTimeout (): number {
     if (averageMs === 0) return FIRST_TIMEOUT_MS
     return Math.min(MAXIMUM_TIMEOUT_MS, Math.max(MINIMUM_TIMEOUT_MS, TIMEOUT_FACTOR * averageMs))
@@ -295,7 +300,7 @@
     }
   }
 
-  /** At the end, wants the last chunks once more from elsewhere if their requests take far longer than others did. */
+  /** Once all missing chunks are requested, marks those whose requests take far longer than average as wanted again, each once. */
   function hedgeSlowRequests (): void {
     if (bitmaps.countBits(wanted) > 0) return
     const limit = now() - Math.max(MINIMUM_HEDGE_MS, HEDGE_FACTOR * averageMs)
@@ -320,7 +325,7 @@
     }
   }
 
-  /** A node that has nothing to ask for may have missed who holds its last chunks; their importers know. */
+  /** A node without open requests may have missed the announcements of its last chunks; the importers know whether they hold them. */
   async function queryImporter (current: transfer.TransferPolicy, chunk: number): Promise<void> {
     const importer = current.findImporter(chunk)
     const peer = importer === null ? undefined : peers.find(importer)
@@ -348,7 +353,7 @@
     options.onProgress()
   }
 
-  /** Only a reader whose origin fails gives a chunk up; any other node is still about to get it. */
+  /** Only an origin reader whose origin fails releases a chunk; any other node still expects to get it. */
   function answerProviderQuery (chunk: number, successor: types.NodeId | null): transfer.ProviderAnswer {
     if (holding.has(chunk)) return 'has'
     if (successor === null) return 'reading'
--- a/packages/transfer/src/createLinkPacer/index.ts
+++ b/packages/transfer/src/createLinkPacer/index.ts
@@ -1,29 +1,29 @@
-/** Keeps one direction of a node's link within its limit; calls go before weights. */
+/** Paces one direction of a node's link to its bandwidth limit. Calls take precedence over weights. */
 import * as types from '@switchridge/types'
 
 /** One direction of a link. */
 export interface LinkPacer {
-  /** Waits until bytes of weights have passed the link. */
+  /** Waits until the bytes of weights have passed the link. */
   readonly take: (bytes: number) => Promise<void>
   /**
-   * Waits until bytes that have come over another link could have passed this one too. Bytes pass both
-   * links at once, so a link that was idle adds nothing.
+   * Waits until bytes that were received over another link could have passed this one, too. Bytes pass both
+   * links at the same time, so a link that was idle adds no delay.
    */
   readonly waitToReceive: (bytes: number) => Promise<void>
-  /** Counts bytes of calls at once; weights that wait get later by as much. */
+  /** Counts bytes of calls without delaying them; weights that are paced later wait correspondingly longer. */
   readonly spend: (bytes: number) => void
-  /** Milliseconds of traffic that waits now. */
+  /** Milliseconds that the link needs for the traffic it has accepted. */
   readonly backlogMs: () => number
 }
 
-/** Credit in milliseconds that an idle link keeps, so that late timers cost no throughput. */
+/** Idle time in milliseconds that the link may make up for, so that late timers do not reduce throughput. */
 const MAXIMUM_CREDIT_MS = 25
 const MILLISECONDS_PER_SECOND = 1000
 
 /**
- * Creates a pacer: a queue with a virtual clock.
+ * Creates a pacer that tracks the time at which the link becomes free.
  *
- * @param bytesPerSecond - The limit; 0 for none.
+ * @param bytesPerSecond - The bandwidth limit; 0 for none.
  * @param now - Monotonic clock in milliseconds.
  * @returns The pacer.
  */
--- a/packages/transfer/src/createLinkPacer/test.ts
+++ b/packages/transfer/src/createLinkPacer/test.ts
@@ -5,7 +5,7 @@
 const RATE = 1000
 
 test.describe('createLinkPacer', () => {
-  test.it('passes weights at the rate of the link, and calls before them', async (context) => {
+  test.it('paces weights at the rate of the link, with calls before them', async (context) => {
     context.mock.timers.enable({ apis: ['setTimeout', 'Date'] })
     const link = createLinkPacer.createLinkPacer(RATE, () => Date.now())
     const passed: string[] = []
@@ -25,7 +25,7 @@
     assert.deepEqual(passed, ['first', 'second'])
   })
 
-  test.it('does not save up credit while it is idle', () => {
+  test.it('does not accumulate credit while it is idle', () => {
     let now = 0
     const link = createLinkPacer.createLinkPacer(RATE, () => now)
     now = 100_000
--- a/packages/transfer/src/createManifest/index.ts
+++ b/packages/transfer/src/createManifest/index.ts
@@ -1,4 +1,4 @@
-/** Makes the manifest of a file of weights. */
+/** Creates the manifest of a weights file. */
 import * as crypto from 'node:crypto'
 import * as types from '@switchridge/types'
 import type * as transfer from '../types/index.js'
@@ -6,7 +6,7 @@
 /**
  * Creates a manifest.
  *
- * @param source - The bytes in order, in pieces of any size.
+ * @param source - The bytes of the file in order, in blocks of any size.
  * @param chunkBytes - Size of a chunk in bytes; the last one may be shorter.
  * @returns The manifest.
  */
@@ -35,10 +35,10 @@
 }
 
 /**
- * Writes a manifest as the bytes that its digest is taken of.
+ * Serializes a manifest to the bytes from which its digest is computed.
  *
  * @param manifest - The manifest.
- * @returns JSON with a fixed order of keys.
+ * @returns JSON with a fixed key order.
  */
 export function formatManifest (manifest: transfer.Manifest): Buffer {
   const { bytes, chunkBytes, fileDigest, chunks } = manifest
@@ -46,10 +46,10 @@
 }
 
 /**
- * Computes the SHA-256 of bytes.
+ * Computes a SHA-256 digest.
  *
  * @param bytes - The bytes.
- * @returns The digest.
+ * @returns The digest in hexadecimal.
  */
 export function computeDigest (bytes: Uint8Array): types.Digest {
   return types.brandId(crypto.createHash('sha256').update(bytes).digest('hex'))
--- a/packages/transfer/src/createOriginPolicy/index.ts
+++ b/packages/transfer/src/createOriginPolicy/index.ts
@@ -1,11 +1,11 @@
-/** Baseline to measure against: every node reads everything from the origin. */
+/** Baseline policy for measurements: every node reads all chunks from the origin. */
 import type * as transfer from '../types/index.js'
 
 /**
  * Creates the policy.
  *
- * @param startedAt - Monotonic time in milliseconds.
- * @returns The policy; it asks no peer.
+ * @param startedAt - Monotonic time in milliseconds from which chunks may be read.
+ * @returns The policy; it sends no requests to peers.
  */
 export function createOriginPolicy (startedAt: number): transfer.TransferPolicy {
   return {
--- a/packages/transfer/src/createPeerRegistry/index.ts
+++ b/packages/transfer/src/createPeerRegistry/index.ts
@@ -1,4 +1,4 @@
-/** What a download knows of its peers: who holds which chunk, who is busy, who is left alone for a while. */
+/** Tracks the peers of a download: which chunks they hold, how loaded they are and which are suspended after failures. */
 import type * as types from '@switchridge/types'
 import * as bitmaps from '../_lib/bitmap.js'
 import type * as transfer from '../types/index.js'
@@ -7,19 +7,19 @@
 export interface PeerRegistry {
   readonly list: () => readonly transfer.PeerState[]
   readonly find: (node: types.NodeId) => transfer.PeerState | undefined
-  /** Number of known holders by chunk. */
+  /** Number of known holders of each chunk. */
   readonly holders: Uint16Array
-  /** Replaces the peers; what is known of those that stay at their address is kept. */
+  /** Replaces the peers; the state of those whose address is unchanged is kept. */
   readonly setPeers: (peers: readonly transfer.Peer[], requestScopeOf: (peer: transfer.Peer) => transfer.RequestScope) => void
-  /** Notes a peer's bitmap in base64; an empty or malformed one says nothing. */
+  /** Records a peer's bitmap in base64; an empty or malformed one is ignored. */
   readonly noteHave: (node: types.NodeId, have: string) => void
-  /** Notes that a node holds a chunk. */
+  /** Records that a node holds a chunk. */
   readonly noteHolder: (node: types.NodeId, chunk: number) => void
-  /** A few nodes known to hold a chunk. */
+  /** Returns a few nodes known to hold a chunk, starting at a random one. */
   readonly findHolders: (chunk: number) => readonly types.NodeId[]
-  /** Whether a peer that may be asked now holds the chunk. */
+  /** Whether the chunk can be requested now from a peer known to hold it. */
   readonly isAvailable: (chunk: number, isImported: boolean, now: number) => boolean
-  /** Leaves a peer alone, longer with each failure in a row. */
+  /** Suspends requests to a peer after a failure, for twice as long after each consecutive one, up to a maximum. */
   readonly suspend: (peer: transfer.PeerState, now: number) => void
 }
 
@@ -29,11 +29,11 @@
 const MAXIMUM_RETURNED_HOLDERS = 4
 
 /**
- * Creates an empty book.
+ * Creates an empty registry.
  *
  * @param chunkCount - Number of chunks.
- * @param random - Random number from 0 to 1.
- * @returns The book.
+ * @param random - Returns a random number from 0 to 1.
+ * @returns The registry.
  */
 export function createPeerRegistry (chunkCount: number, random: () => number): PeerRegistry {
   const peers = new Map<types.NodeId, transfer.PeerState>()
--- a/packages/transfer/src/createSwarmPolicy/index.ts
+++ b/packages/transfer/src/createSwarmPolicy/index.ts
@@ -1,4 +1,4 @@
-/** The swarm: each chunk has one reader at the origin and one importer in each data hall, agreed by rendezvous hashing alone. */
+/** Swarm policy: rendezvous hashing assigns each chunk one origin reader and one importer in each data hall, without any coordination between nodes. */
 import * as types from '@switchridge/types'
 import * as membership from '@switchridge/membership'
 import type * as transfer from '../types/index.js'
@@ -6,19 +6,19 @@
 /** Options of {@link createSwarmPolicy}. */
 export interface SwarmOptions {
   readonly self: transfer.Peer
-  /** Nodes that hold or shall hold the version, this one included; silent ones of a hall that is cut off still count. */
+  /** Nodes that hold or are to hold the version, this one included; unreachable nodes of a data hall that is cut off still count. */
   readonly holders: readonly transfer.Peer[]
-  /** Data halls that share one copy from the origin with this node's hall. */
+  /** Data halls that share one copy from the origin, this node's hall included. */
   readonly group: ReadonlySet<types.DataHallId>
   readonly manifestDigest: types.Digest
   readonly chunkBytes: number
-  /** Bytes a second that this group may read from the origin. */
+  /** Bytes per second that this group may read from the origin. */
   readonly originBytesPerSecond: number
-  /** Monotonic time in milliseconds at which the transfer began here. */
+  /** Monotonic time in milliseconds at which the transfer began on this node. */
   readonly startedAt: number
-  /** Milliseconds after which the next node in order asks what became of a chunk. */
+  /** Milliseconds after which the next node in order queries the provider of an overdue chunk. */
   readonly takeOverDelayMs?: number
-  /** Whether the allowance leaves room to read again what a node that cannot be asked may have read already. */
+  /** Whether the origin allowance permits reading again what an unreachable provider may have read already; true if not given. */
   readonly mayReadAgain?: (provider: types.NodeId) => boolean
 }
 
@@ -29,7 +29,7 @@
 /**
  * Creates the policy of one node for one version.
  *
- * @param options - The node, the holders-to-be and the allowance of the row.
+ * @param options - The node, the holders and the origin allowance of the version.
  * @returns The policy.
  */
 export function createSwarmPolicy (options: SwarmOptions): transfer.TransferPolicy {
@@ -67,7 +67,7 @@
     return findReader(chunk)?.node === self.node
   }
 
-  /** The best of every other hall in the group is the importer there. */
+  /** The highest-ranked node of each other data hall in the group is the importer of that hall. */
   function findImportersOfOtherHalls (chunk: number): types.NodeId[] {
     const importers = new Map<types.DataHallId, transfer.Peer>()
     for (const peer of membership.rankByRendezvous(formatChunkKey(chunk), groupMembers, (member) => member.node)) {
--- a/packages/transfer/src/createTransfer/index.ts
+++ b/packages/transfer/src/createTransfer/index.ts
@@ -1,4 +1,4 @@
-/** All downloads of a node: higher priorities first, requests in flight bounded over all of them. */
+/** Manages all downloads of a node: higher priorities first, with one limit on requests in flight for all of them. */
 import * as types from '@switchridge/types'
 import type * as createChunkStore from '../createChunkStore/index.js'
 import * as createDownload from '../createDownload/index.js'
@@ -6,26 +6,28 @@
 import * as parseManifest from '../parseManifest/index.js'
 import type * as transfer from '../types/index.js'
 
-/** A version that the node shall hold. */
+/** A version that the node is to hold. */
 export interface WantedVersion {
   readonly digest: types.Digest
   readonly source: string
-  /** Nodes that may be asked. */
+  /** Nodes to which requests may be sent. */
   readonly peers: readonly transfer.Peer[]
-  /** Changes when peers or their ranks change. */
+  /** Changes whenever the peers or their ranks change; the policy is then created anew. */
   readonly signature: string
   readonly createPolicy: (manifest: transfer.Manifest, startedAt: number) => transfer.TransferPolicy
 }
 
-/** Options of {@link createTransfer}. */
+/** Options of the transfer manager. */
 export interface TransferOptions {
   readonly store: createChunkStore.ChunkStore
   readonly requests: createDownload.DownloadRequests & {
-    /** Fetches the manifest from a peer or the origin; unchecked. */
+    /** Fetches the manifest from a peer or the origin; the bytes are not verified. */
     readonly fetchManifest: (wanted: WantedVersion) => Promise<types.Outcome<Buffer, types.UnavailableError>>
   }
   readonly downlink: createLinkPacer.LinkPacer
+  /** Maximum number of open requests of all downloads. */
   readonly requestsInFlight: number
+  /** Maximum number of open requests of a download to one peer. */
   readonly perPeer: number
   readonly now: () => number
   readonly random: () => number
@@ -33,33 +35,35 @@
   readonly onEvent: (event: createDownload.DownloadEvent | ManifestEvent) => void
 }
 
-/** A manifest could not be had. */
+/** A download could not start: its manifest could not be obtained, or the version does not fit in the store. */
 export interface ManifestEvent {
   readonly event: 'manifest-failed' | 'store-full'
   readonly digest: types.Digest
   readonly reason: string
 }
 
-/** State of one version on this node. */
+/** Progress of one version on this node. */
 export interface TransferProgress {
   readonly digest: types.Digest
   readonly chunks: number
+  /** Number of chunks that the node holds. */
   readonly held: number
   readonly counts: createDownload.DownloadCounts | null
 }
 
-/** The transfers of a node. */
+/** Manages the transfers of a node. */
 export interface Transfer {
-  /** Replaces what is wanted, highest priority first; versions no longer wanted stop at once. */
+  /** Replaces the wanted versions, highest priority first; downloads of versions no longer wanted stop at once. */
   readonly setWanted: (wanted: readonly WantedVersion[]) => void
   readonly noteHave: (digest: types.Digest, node: types.NodeId, have: string) => void
-  /** Notes that a node was sent a chunk. */
+  /** Records that a chunk was sent to a node. */
   readonly noteSent: (digest: types.Digest, node: types.NodeId, chunk: number) => void
-  /** A few nodes known to hold a chunk. */
+  /** Returns a few nodes known to hold a chunk. */
   readonly findHolders: (digest: types.Digest, chunk: number) => readonly types.NodeId[]
+  /** Answers the query of another node for the state of a chunk. */
   readonly answerProvider: (digest: types.Digest, chunk: number, successor: types.NodeId | null) => transfer.ProviderAnswer
   readonly progress: () => readonly TransferProgress[]
-  /** Requests of all downloads that are open now. */
+  /** Number of open requests of all downloads. */
   readonly openRequests: () => number
   readonly stop: () => void
 }
@@ -73,7 +77,7 @@
 }
 
 const TIMER_INTERVAL_MS = 50
-/** Requests in flight grow with chunks that arrive and shrink when peers have no slot, so that few holders are not swamped. */
+/** The window of requests in flight grows with each chunk received and shrinks with each refusal, so that a few holders are not overloaded. */
 const MINIMUM_WINDOW = 4
 const WINDOW_INCREASE = 0.5
 const WINDOW_DECREASE = 0.9
@@ -81,10 +85,10 @@
 const MANIFEST_RETRY_MS = 500
 
 /**
- * Creates the transfers of a node.
+ * Creates the transfer manager of a node.
  *
  * @param options - Store, requests and limits.
- * @returns The transfers; nothing is fetched until something is wanted.
+ * @returns The manager; it fetches nothing until a version is wanted.
  */
 export function createTransfer (options: TransferOptions): Transfer {
   const active = new Map<types.Digest, ActiveTransfer>()
--- a/packages/transfer/src/createTransfer/test.ts
+++ b/packages/transfer/src/createTransfer/test.ts
@@ -9,11 +9,11 @@
 const LATENCY_MS = 20
 
 interface Faults {
-  /** Nodes that answer nothing. */
+  /** Nodes that answer no request. */
   readonly unreachable: Set<string>
-  /** Nodes whose chunks come with a wrong byte. */
+  /** Nodes that send wrong bytes for a chunk. */
   readonly corrupting: Set<string>
-  /** Nodes that nothing is said to unless they ask. */
+  /** Nodes that receive no announcements. */
   readonly withoutAnnouncements: Set<string>
   /** Nodes that cannot reach the origin. */
   readonly withoutOrigin: Set<string>
@@ -55,7 +55,7 @@
   return { node: types.brandId(name), dataHall: types.brandId(hall), address: { host: name, port: 1 } }
 }
 
-/** Nodes whose transfers reach each other's stores through functions, on the paused clock. */
+/** Creates nodes whose transfers reach each other's stores through function calls, on a mock clock. */
 function createSwarm (context: test.TestContext, halls: readonly string[], versions: readonly Version[]): Swarm {
   context.mock.timers.enable({ apis: ['setTimeout', 'setInterval', 'Date'] })
   const now = (): number => Date.now()
@@ -167,7 +167,7 @@
     assert.ok(swarm.nodes.every((node) => node.completed === 1))
   })
 
-  test.it('goes on when a node dies in the middle, as reader and as only holder', async (context) => {
+  test.it('completes when a node that is origin reader and only holder of chunks becomes unreachable', async (context) => {
     const version = await createVersion(createText('x', 40))
     const swarm = createSwarm(context, HALLS, [version])
     swarm.setWanted(version)
@@ -180,7 +180,7 @@
     assert.ok(swarm.originBytes() <= 1.35 * version.bytes.length, `${swarm.originBytes()} bytes`)
   })
 
-  test.it('drops corrupted chunks of a peer and gets them elsewhere', async (context) => {
+  test.it('rejects corrupted chunks of a peer and completes', async (context) => {
     const version = await createVersion(createText('x', 30))
     const swarm = createSwarm(context, HALLS, [version])
     swarm.faults.corrupting.add('node-0')
@@ -191,7 +191,7 @@
     assert.ok(swarm.events.some((event) => event.event === 'chunk-corrupt' && event.from === 'node-0'))
   })
 
-  test.it('keeps nothing of an origin that changed its bytes, asks it ever more seldom, and ends when they are right again', async (context) => {
+  test.it('stores nothing from a corrupt origin, reads it less and less often, and completes when it is correct again', async (context) => {
     const version = await createVersion(createText('x', 20))
     const swarm = createSwarm(context, HALLS, [version])
     swarm.faults.origin = 'corrupt'
@@ -203,7 +203,7 @@
     assert.ok(await swarm.runUntil(() => isHeldByAll(swarm, version)))
   })
 
-  test.it('waits out an origin that refuses', async (context) => {
+  test.it('retries an origin that refuses requests', async (context) => {
     const version = await createVersion(createText('x', 20))
     const swarm = createSwarm(context, HALLS, [version])
     swarm.faults.origin = 'refusing'
@@ -214,7 +214,7 @@
     assert.equal(swarm.originBytes(), version.bytes.length)
   })
 
-  test.it('resumes ranges that the origin closes, without reading bytes twice', async (context) => {
+  test.it('resumes interrupted origin ranges without reading bytes twice', async (context) => {
     const version = await createVersion(createText('x', 12))
     const swarm = createSwarm(context, HALLS, [version])
     swarm.faults.origin = 'breaking'
@@ -223,7 +223,7 @@
     assert.equal(swarm.originBytes(), version.bytes.length)
   })
 
-  test.it('lets others read the chunks of a node that cannot reach the origin', async (context) => {
+  test.it('takes over the chunks of a node that cannot reach the origin', async (context) => {
     const version = await createVersion(createText('x', 30))
     const swarm = createSwarm(context, HALLS, [version])
     swarm.faults.withoutOrigin.add('node-2')
@@ -233,7 +233,7 @@
     assert.ok(swarm.events.some((event) => event.event === 'took-over'))
   })
 
-  test.it('finds its last chunks also when no announcement of them reached it', async (context) => {
+  test.it('finds its last chunks even if no announcement reached it', async (context) => {
     const version = await createVersion(createText('x', 24))
     const halls = Array.from({ length: 14 }, () => 'a')
     const swarm = createSwarm(context, halls, [version])
@@ -242,10 +242,10 @@
     assert.ok(await swarm.runUntil(() => isHeldByAll(swarm, version, ['node-3'])))
     const before = Date.now()
     assert.ok(await swarm.runUntil(() => isHeldByAll(swarm, version)))
-    assert.ok(Date.now() - before < 5000, `${Date.now() - before} ms of the paused clock after all others`)
+    assert.ok(Date.now() - before < 5000, `${Date.now() - before} ms of the mock clock after all other nodes`)
   })
 
-  test.it('stops a version that is replaced in the middle and keeps the chunks that both share', async (context) => {
+  test.it('stops the download of a replaced version and keeps the chunks shared with its successor', async (context) => {
     const shared = createText('s', 20)
     const first = await createVersion(shared + createText('x', 20))
     const second = await createVersion(shared + createText('y', 20))
--- a/packages/transfer/src/createTreePolicy/index.ts
+++ b/packages/transfer/src/createTreePolicy/index.ts
@@ -1,4 +1,4 @@
-/** Baselines to measure against: a chain and a tree in which each node asks one parent. */
+/** Baseline policies for measurements: a chain and a tree in which each node requests chunks from one parent. */
 import type * as types from '@switchridge/types'
 import * as membership from '@switchridge/membership'
 import type * as transfer from '../types/index.js'
@@ -8,17 +8,17 @@
   readonly self: transfer.Peer
   readonly holders: readonly transfer.Peer[]
   readonly manifestDigest: types.Digest
-  /** Children of each node: 1 makes a chain. */
+  /** Number of children of each node; 1 makes a chain. */
   readonly children: number
-  /** Monotonic time in milliseconds. */
+  /** Monotonic time in milliseconds from which chunks may be read from the origin. */
   readonly startedAt: number
 }
 
 /**
- * Creates the policy of a tree over the nodes in rendezvous order; the first reads from the origin.
+ * Creates the policy of a tree of the nodes in rendezvous order; the root reads from the origin.
  *
  * @param options - The node, the holders and the width of the tree.
- * @returns The policy; it has no way around a parent that fails.
+ * @returns The policy; it has no fallback when a parent fails.
  */
 export function createTreePolicy (options: TreeOptions): transfer.TransferPolicy {
   const ranked = membership.rankByRendezvous(options.manifestDigest, options.holders, (peer) => peer.node)
--- a/packages/transfer/src/createUploader/index.ts
+++ b/packages/transfer/src/createUploader/index.ts
@@ -1,4 +1,4 @@
-/** Gives chunks and manifests to peers: bounded slots, paced link, and this node's bitmap on every answer. */
+/** Serves chunks and manifests to peers, with a bounded queue, a paced uplink and this node's bitmap on every answer about a chunk. */
 import type * as Koa from 'koa'
 import * as types from '@switchridge/types'
 import * as rpc from '@switchridge/rpc'
@@ -13,38 +13,39 @@
   readonly identity: rpc.Identity
   readonly store: createChunkStore.ChunkStore
   readonly uplink: createLinkPacer.LinkPacer
-  /** Uploads that may wait at a time; more are refused at once. */
+  /** Uploads that may wait at a time; further requests are refused at once. */
   readonly slots: number
-  /** Told which bitmap a peer showed in passing. */
+  /** Called with the bitmap that a peer sent along with its request. */
   readonly onHave: (digest: types.Digest, node: types.NodeId, have: string) => void
-  /** Told that a peer was sent a chunk. */
+  /** Called when a chunk is sent to a peer. */
   readonly onSent: (digest: types.Digest, node: types.NodeId, chunk: number) => void
-  /** Other nodes known to hold a chunk, to which a requester is sent when all slots are taken. */
+  /** Returns other nodes known to hold a chunk, to which a requester is referred when all slots are taken. */
   readonly findHolders: (digest: types.Digest, chunk: number) => readonly types.NodeId[]
 }
 
-/** The middleware and its load. */
+/** The upload middleware and its load. */
 export interface Uploader {
   readonly middleware: Koa.Middleware
+  /** Number of uploads that wait or are being sent. */
   readonly backlog: () => number
   readonly sentBytes: () => number
 }
 
 interface QueuedUpload {
-  /** Chunks that the requester holds. */
+  /** Number of chunks that the requester holds. */
   readonly held: number
-  /** Uploads that were taken before this one. */
+  /** Number of times that another upload was sent before this one. */
   timesSkipped: number
   readonly isGone: () => boolean
   readonly resolve: (isWanted: boolean) => void
 }
 
-/** Uploads that use the link at a time: one on its way and one ready to follow. */
+/** Uploads that use the link at a time: one being sent and one ready to follow. */
 const MAXIMUM_CONCURRENT_UPLOADS = 2
 const CHUNK_PATH = /^\/chunks\/([0-9a-f]{64})\/(\d+)$/
 const MANIFEST_PATH = /^\/manifests\/([0-9a-f]{64})$/
 
-/** Chunks by which a requester moves up for each upload that goes before it. */
+/** Chunks by which the rank of a waiting upload improves each time it is skipped. */
 const CHUNKS_PER_SKIP = 2
 
 function computeRank (upload: QueuedUpload | undefined): number {
@@ -54,7 +55,7 @@
 /**
  * Creates the uploader of a node.
  *
- * @param options - Store, link and limits.
+ * @param options - Store, uplink and limits.
  * @returns A koa middleware for `GET /chunks/DIGEST/NUMBER` and `GET /manifests/DIGEST`.
  */
 export function createUploader (options: UploaderOptions): Uploader {
@@ -100,7 +101,7 @@
     if (node !== '') options.onSent(holding.digest, types.brandId<types.NodeId>(node), chunk)
   }
 
-  /** Takes the requester that holds least, so that all end together; who is passed over moves up. */
+  /** Takes the upload whose requester holds the fewest chunks, so that all peers complete at about the same time; skipped uploads gain rank, so that none starves. */
   function takeNext (): QueuedUpload | undefined {
     let best = 0
     for (let index = 1; index < waiting.length; index += 1) {
@@ -111,7 +112,7 @@
     return taken
   }
 
-  /** Resolves when the upload may use the link, or with false when its requester has gone. */
+  /** Resolves with true when the upload may use the link, or with false when its requester has disconnected. */
   async function waitForTurn (context: Koa.Context, size: number): Promise<boolean> {
     const held = bitmaps.countBits(bitmaps.decodeBitmap(context.get(fetchChunk.HAVE_HEADER), size))
     return await new Promise<boolean>((resolve) => {
--- a/packages/transfer/src/fetchChunk/index.ts
+++ b/packages/transfer/src/fetchChunk/index.ts
@@ -1,27 +1,28 @@
-/** Fetches bytes of weights over HTTP: chunks and manifests from peers, ranges from the origin. */
+/** Fetches weights over HTTP: chunks and manifests from peers, byte ranges and manifests from the origin. */
 import * as got from 'got'
 import * as types from '@switchridge/types'
 import * as rpc from '@switchridge/rpc'
 
 export const NODE_HEADER = 'x-switchridge-node'
 export const HAVE_HEADER = 'x-switchridge-have'
-/** On a refusal: other nodes that hold the chunk. */
+/** Other nodes that hold the chunk; sent with a refusal. */
 export const HOLDERS_HEADER = 'x-switchridge-holders'
 export const BACKLOG_HEADER = 'x-switchridge-backlog'
 
-/** The peer answered but gives no chunk now: it is busy or does not hold it. */
+/** The peer answered without the chunk: it is busy or does not hold it. */
 export class ChunkRefusedError extends types.SwitchridgeError {}
 
-/** What a peer says of itself on every answer. */
+/** What a peer reports about itself with an answer. */
 export interface PeerReport {
-  /** Its bitmap in base64; empty when it did not say. */
+  /** Its bitmap in base64; empty when not reported. */
   readonly have: string
+  /** Number of its waiting uploads. */
   readonly backlog: number
-  /** Other nodes that hold the chunk, when this one has no slot for it. */
+  /** Other nodes that hold the chunk, if the peer has no free slot. */
   readonly holders: readonly types.NodeId[]
 }
 
-/** A peer's answer to the request for a chunk. */
+/** A peer's answer to a chunk request. */
 export interface ChunkAnswer {
   readonly report: PeerReport
   readonly outcome: types.Outcome<Buffer, ChunkRefusedError | types.UnavailableError>
@@ -42,12 +43,12 @@
 /**
  * Fetches one chunk from a peer.
  *
- * @param address - The peer.
+ * @param address - Address of the peer.
  * @param digest - Digest of the manifest.
  * @param chunk - Number of the chunk.
- * @param have - This node's own bitmap, which the peer learns in passing.
- * @param options - Pools, identity and limits.
- * @returns The bytes, unchecked, and what the peer says of itself.
+ * @param have - This node's own bitmap in base64, sent along for the peer to record.
+ * @param options - Connection pools, identity and limits.
+ * @returns The bytes, not verified, and what the peer reports about itself.
  */
 export async function fetchChunk (address: types.Address, digest: types.Digest, chunk: number, have: string, options: FetchOptions): Promise<ChunkAnswer> {
   const sent = await rpc.sendRequest(options.agents, {
@@ -71,10 +72,10 @@
 /**
  * Fetches a manifest from a peer.
  *
- * @param address - The peer.
+ * @param address - Address of the peer.
  * @param digest - Digest of the manifest.
- * @param options - Pools, identity and limits.
- * @returns The bytes, unchecked.
+ * @param options - Connection pools, identity and limits.
+ * @returns The bytes, not verified.
  */
 export async function fetchManifest (address: types.Address, digest: types.Digest, options: FetchOptions): Promise<types.Outcome<Buffer, types.UnavailableError>> {
   const url = `${rpc.formatBaseUrl(options.agents, address)}/manifests/${digest}`
@@ -82,31 +83,31 @@
 }
 
 /**
- * Fetches the manifest that lies beside a file at the origin.
+ * Fetches the manifest stored next to a weights file at the origin.
  *
- * @param url - The file of weights.
- * @param options - Pools and limits.
- * @returns The bytes, unchecked.
+ * @param url - The weights file.
+ * @param options - Connection pools and limits.
+ * @returns The bytes, not verified.
  */
 export async function fetchOriginManifest (url: string, options: Omit<FetchOptions, 'identity' | 'self'>): Promise<types.Outcome<Buffer, types.UnavailableError>> {
   return await fetchBody(`${url}.manifest.json`, {}, options)
 }
 
-/** A range of the origin, as far as it came. */
+/** A byte range from the origin, as far as it was received. */
 export interface OriginAnswer {
   readonly bytes: Buffer
-  /** Why the range is short; undefined when it is whole. */
+  /** Why the range is incomplete; undefined when it is complete. */
   readonly error?: types.UnavailableError
 }
 
 /**
- * Fetches a range from the origin. Bytes that came before a failure are returned, so that they are not read twice.
+ * Fetches a byte range from the origin. Bytes received before a failure are returned, so that they need not be read twice.
  *
- * @param url - The file of weights.
- * @param from - First byte.
+ * @param url - The weights file.
+ * @param from - Offset of the first byte.
  * @param length - Number of bytes.
- * @param options - Pools and limits.
- * @returns The bytes that came.
+ * @param options - Connection pools and limits.
+ * @returns The bytes received.
  */
 export async function fetchOriginRange (url: string, from: number, length: number, options: Omit<FetchOptions, 'identity' | 'self'>): Promise<OriginAnswer> {
   const parts: Buffer[] = []
@@ -128,7 +129,7 @@
   }
 }
 
-/** A request that is aborted after its end reports an error that nobody waits for any more. */
+/** A request that is aborted after its end emits an error that nothing awaits any more; without a listener it would be thrown. */
 function ignoreLateError (): void {}
 
 async function fetchBody (url: string, headers: Record<string, string>, options: Omit<FetchOptions, 'identity' | 'self'>): Promise<types.Outcome<Buffer, types.UnavailableError>> {
--- a/packages/transfer/src/index.ts
+++ b/packages/transfer/src/index.ts
@@ -1,4 +1,4 @@
-/** Moving weights: manifests, chunks, who reads what from whom, and the loop that does it. */
+/** Distributes model weights: manifests, chunk storage, policies that decide who fetches which chunk from whom, and the downloads that follow them. */
 export * from './chooseRequest/index.js'
 export * from './createChunkStore/index.js'
 export * from './createDownload/index.js'
--- a/packages/transfer/src/parseManifest/index.ts
+++ b/packages/transfer/src/parseManifest/index.ts
@@ -1,4 +1,4 @@
-/** Checks a manifest against the digest that the table pins. */
+/** Parses a manifest and verifies it against the digest pinned in the table. */
 import * as zod from 'zod'
 import * as types from '@switchridge/types'
 import * as createManifest from '../createManifest/index.js'
@@ -16,9 +16,9 @@
 /**
  * Parses a manifest.
  *
- * @param bytes - The manifest as it came from a peer or the origin.
- * @param digest - The digest that the table pins.
- * @returns The manifest, or an error when it is another one or contradicts itself.
+ * @param bytes - The manifest as received from a peer or the origin.
+ * @param digest - The digest pinned in the table.
+ * @returns The manifest, or an error when its digest differs or its content is malformed or inconsistent.
  */
 export function parseManifest (bytes: Uint8Array, digest: types.Digest): types.Outcome<transfer.Manifest, types.DigestMismatchError> {
   const actualDigest = createManifest.computeDigest(bytes)
@@ -37,7 +37,7 @@
  *
  * @param manifest - The manifest.
  * @param chunk - Number of the chunk.
- * @returns Bytes.
+ * @returns The size in bytes.
  */
 export function computeChunkBytes (manifest: transfer.Manifest, chunk: number): number {
   return Math.min(manifest.chunkBytes, manifest.bytes - chunk * manifest.chunkBytes)
--- a/packages/transfer/src/types/index.ts
+++ b/packages/transfer/src/types/index.ts
@@ -1,12 +1,12 @@
-/** Shapes of a transfer. */
+/** Types shared by the modules of this package. */
 import type * as types from '@switchridge/types'
 import type * as bitmaps from '../_lib/bitmap.js'
 
-/** Describes one version of weights; its own digest is pinned by the table. */
+/** Describes one version of weights. The table pins the digest of the manifest itself. */
 export interface Manifest {
   readonly bytes: number
   readonly chunkBytes: number
-  /** SHA-256 of all bytes in order. */
+  /** SHA-256 of the whole file. */
   readonly fileDigest: types.Digest
   /** SHA-256 of each chunk in order. */
   readonly chunks: readonly types.Digest[]
@@ -19,46 +19,49 @@
   readonly address: types.Address
 }
 
-/** What a downloading node knows of a peer. */
+/** What a downloading node knows about a peer. */
 export interface PeerState extends Peer {
+  /** Chunks that the peer is known to hold. */
   readonly has: bitmaps.Bitmap
   requestScope: RequestScope
-  /** Requests that this node has open at the peer. */
+  /** Open requests from this node to the peer. */
   outstanding: number
-  /** Uploads that the peer last said to have waiting. */
+  /** Number of waiting uploads that the peer last reported. */
   backlog: number
-  /** Monotonic time in milliseconds of that word. */
+  /** Monotonic time in milliseconds of that report. */
   backlogUpdatedAt: number
-  /** Monotonic time in milliseconds until which the peer is not asked. */
+  /** Monotonic time in milliseconds until which no request is sent to the peer. */
   suspendedUntil: number
+  /** Failures since the last valid chunk from the peer. */
   failures: number
 }
 
-/** Who may fetch which chunk from whom; the swarm and the baselines differ only in this. */
+/** Decides which node fetches which chunk from where. The swarm and the baselines differ only in their policy. */
 export interface TransferPolicy {
-  /** Whether chunks that few known peers hold go first. */
+  /** Whether chunks that few known peers hold are requested first. */
   readonly prefersRare: boolean
-  /** Monotonic time in milliseconds at which the chunk may leave the origin; rises with the chunk's number. */
+  /** Monotonic time in milliseconds from which the chunk may be read from the origin; increases with the chunk's number. */
   readonly originReadAt: (chunk: number) => number
-  /** Whether this node is the one that reads the chunk from the origin. */
+  /** Whether this node reads the chunk from the origin. */
   readonly readsOrigin: (chunk: number) => boolean
-  /** Which chunks this node may ask a peer for; `imported` are those that it brings into its data hall. */
+  /** Which chunks this node may request from a peer; `imported` means only those that it imports into its data hall. */
   readonly requestScopeOf: (peer: Peer) => RequestScope
-  /** Whether this node brings the chunk into its data hall. */
+  /** Whether this node imports the chunk into its data hall, from another hall or from the origin. */
   readonly isImporter: (chunk: number) => boolean
-  /** Nodes told at once when this node has obtained the chunk. */
+  /** Nodes that this node notifies as soon as it holds the chunk. */
   readonly findAnnounceTargets: (chunk: number) => readonly types.NodeId[]
-  /** The node that should have provided the chunk by now, if it is this node's turn to take over from it. */
+  /** The node that should have provided the chunk by now, if this node is the next one to take over from it; otherwise null. */
   readonly findOverdueProvider: (chunk: number, now: number) => types.NodeId | null
-  /** The node of this hall that any other one may ask for the chunk; null when that is this node itself. */
+  /** The node of this data hall that imports the chunk and can be queried for it; null when that is this node or the policy has none. */
   readonly findImporter: (chunk: number) => types.NodeId | null
-  /** Makes this node the reader of a chunk that its provider gave up; false when the allowance forbids it. */
+  /** Makes this node the origin reader of a chunk that its provider does not deliver; returns false when the origin allowance forbids it. */
   readonly takeOver: (chunk: number, provider: types.NodeId) => boolean
-  /** Gives a chunk up to the next node in order. */
+  /** Gives up a chunk, so that the next node in order takes it over. */
   readonly release: (chunk: number) => void
 }
 
+/** Chunks that may be requested from a peer. */
 export type RequestScope = 'everything' | 'imported' | 'nothing'
 
-/** What became of a chunk at the node that should provide it. */
+/** State of a chunk at the node that should provide it. */
 export type ProviderAnswer = 'has' | 'reading' | 'released' | 'unreachable'
