--- a/packages/placement/src/computeOriginGroup/index.ts
+++ b/packages/placement/src/computeOriginGroup/index.ts
@@ -1,32 +1,33 @@
-/** Decides which data halls share one copy from the origin. */
+/** Decides which data halls share one download of a row from the origin. */
 import type * as types from '@switchridge/types'
 
-/** A hall that holds copies of a row. */
-export interface HallReach {
+/** Whether a hall that holds copies of a row can be reached. */
+export interface HallReachability {
   readonly dataHall: types.DataHallId
-  /** False when the hall fell silent as a whole. */
+  /** False when no member of the hall is live. */
   readonly isReachable: boolean
 }
 
 /**
- * Computes the origin group of a hall.
+ * Computes the origin group of a hall: the halls that together read each chunk from the origin once.
  *
- * All halls share one copy, since the origin's link feeds new chunks into the fleet fastest when it sends
- * each of them once. Halls that cannot be reached are left out, so that the others go on without them,
- * only if the row favours time and its allowance would bear one copy for every part into which the fleet
- * may have fallen: with s halls silent there are at most s + 1 parts, and each of them counts like this.
+ * By default all halls form one group, because the origin's link brings new chunks into the fleet fastest
+ * when it sends each of them only once. Unreachable halls are excluded, so that the others continue without
+ * them, only if the row favours time and `originCopies` allows one copy for every partition that the fleet
+ * may have split into: with s unreachable halls there are at most s + 1 partitions, and each of them applies
+ * the same rule.
  *
- * @param row - The row.
- * @param own - The hall that asks.
+ * @param row - The model row to download.
+ * @param ownHall - The hall whose group is computed.
  * @param halls - All halls that hold copies of the row.
- * @returns The halls of the group, `own` among them.
+ * @returns The halls of the group in ascending order, including `ownHall`.
  * @example
  * computeOriginGroup({ ...row, favour: 'time', originCopies: 2 }, 'a', [{ dataHall: 'b', isReachable: false }]) // ['a']
  */
-export function computeOriginGroup (row: types.ModelRow, own: types.DataHallId, halls: readonly HallReach[]): types.DataHallId[] {
-  const others = halls.filter((hall) => hall.dataHall !== own)
-  const silent = others.filter((hall) => !hall.isReachable).length
-  const goesAlone = row.favour === 'time' && silent > 0 && silent + 1 <= row.originCopies
-  const members = goesAlone ? others.filter((hall) => hall.isReachable) : others
-  return [...new Set([own, ...members.map((hall) => hall.dataHall)])].sort()
+export function computeOriginGroup (row: types.ModelRow, ownHall: types.DataHallId, halls: readonly HallReachability[]): types.DataHallId[] {
+  const otherHalls = halls.filter((hall) => hall.dataHall !== ownHall)
+  const unreachableCount = otherHalls.filter((hall) => !hall.isReachable).length
+  const excludesUnreachable = row.favour === 'time' && unreachableCount > 0 && unreachableCount + 1 <= row.originCopies
+  const members = excludesUnreachable ? otherHalls.filter((hall) => hall.isReachable) : otherHalls
+  return [...new Set([ownHall, ...members.map((hall) => hall.dataHall)])].sort()
 }
--- a/packages/placement/src/computeOriginGroup/test.ts
+++ b/packages/placement/src/computeOriginGroup/test.ts
@@ -11,16 +11,16 @@
 }
 
 test.describe('computeOriginGroup', () => {
-  test.it('puts all halls into one group while all can be reached', () => {
+  test.it('puts all halls into one group while all are reachable', () => {
     const halls = HALLS.map((dataHall) => ({ dataHall, isReachable: true }))
     assert.deepEqual(computeOriginGroup.computeOriginGroup(makeRow('time', 4), HALLS[0]!, halls), HALLS)
   })
 
-  test.it('never lets the parts of a fallen fleet read more copies than the row allows', () => {
-    const partition = fc.array(fc.integer({ min: 0, max: 4 }), { minLength: HALLS.length, maxLength: HALLS.length })
-    fc.assert(fc.property(partition, fc.integer({ min: 1, max: 5 }), fc.constantFrom<types.Favour>('time', 'origin-bytes'), (parts, copies, favour) => {
+  test.it('never lets the partitions of a split fleet read more copies than the row allows', () => {
+    const partitions = fc.array(fc.integer({ min: 0, max: 4 }), { minLength: HALLS.length, maxLength: HALLS.length })
+    fc.assert(fc.property(partitions, fc.integer({ min: 1, max: 5 }), fc.constantFrom<types.Favour>('time', 'origin-bytes'), (partitionOfHall, copies, favour) => {
       const groups = new Set(HALLS.map((own, index) => {
-        const halls = HALLS.map((dataHall, other) => ({ dataHall, isReachable: parts[other] === parts[index] }))
+        const halls = HALLS.map((dataHall, other) => ({ dataHall, isReachable: partitionOfHall[other] === partitionOfHall[index] }))
         return computeOriginGroup.computeOriginGroup(makeRow(favour, copies), own, halls).join()
       }))
       assert.ok(groups.size <= Math.max(1, copies), `${groups.size} groups read a copy each`)
--- a/packages/placement/src/computePlacement/index.ts
+++ b/packages/placement/src/computePlacement/index.ts
@@ -1,18 +1,18 @@
-/** Decides which node holds which version, and says why: a pure function of the table and the members seen. */
+/** Decides which nodes hold which model version and gives the reason, as a pure function of the table and the known members. */
 import * as types from '@switchridge/types'
 import * as membership from '@switchridge/membership'
 import * as parseTargets from '../parseTargets/index.js'
 
-/** One copy that a node shall hold. */
+/** A copy of a row that is assigned to a node. */
 export interface Assignment {
   readonly node: types.NodeId
   readonly row: types.ModelRow
-  /** Position among the node's copies; lower ones move first. */
+  /** Position among the node's copies; lower ones are transferred first. */
   readonly order: number
   readonly reason: string
 }
 
-/** A wish of the table that the fleet cannot meet now. */
+/** A row for which the fleet has room for fewer copies than the table asks for. */
 export interface Shortfall {
   readonly row: types.RowId
   readonly wanted: number
@@ -20,7 +20,7 @@
   readonly reason: string
 }
 
-/** The whole placement. */
+/** Result of {@link computePlacement}. */
 export interface Placement {
   readonly assignments: readonly Assignment[]
   readonly shortfalls: readonly Shortfall[]
@@ -38,26 +38,26 @@
 }
 
 /**
- * Computes the placement.
+ * Computes which nodes hold copies of which rows.
  *
- * @param table - The table in force.
- * @param members - The members seen; silent ones keep their place, leaving and gone ones have none.
- * @returns Assignments with reasons, and what could not be placed.
+ * @param table - The current table.
+ * @param members - The known members. Silent members keep their assignments; leaving and gone members get none.
+ * @returns The assignments with their reasons, and the rows that could not be placed in full.
  */
 export function computePlacement (table: types.Table, members: readonly membership.Member[]): Placement {
   const candidates = members.filter(isPlaceable).map((member): Candidate => ({ facts: member.facts, freeBytes: member.facts.memoryBytes, copies: 0 }))
   const assignments: Assignment[] = []
   const shortfalls: Shortfall[] = []
-  for (const row of orderRows(table.models)) {
-    const able = candidates.filter((candidate) => canHold(candidate, row, assignments))
-    const selection = selectForRow(row, able)
+  for (const row of sortRows(table.models)) {
+    const eligible = candidates.filter((candidate) => canHold(candidate, row, assignments))
+    const selection = selectForRow(row, eligible)
     for (const [candidate, reason] of selection.chosen) {
       assignments.push({ node: candidate.facts.node, row, order: candidate.copies, reason })
       candidate.copies += 1
       candidate.freeBytes -= row.bytes
     }
     if (selection.chosen.size < selection.wanted) {
-      shortfalls.push({ row: row.id, wanted: selection.wanted, placed: selection.chosen.size, reason: explainShortfall(row, able.length) })
+      shortfalls.push({ row: row.id, wanted: selection.wanted, placed: selection.chosen.size, reason: explainShortfall(row, eligible.length) })
     }
   }
   return { assignments, shortfalls }
@@ -67,17 +67,17 @@
   return member.facts.role === 'backend' && member.condition !== 'gone' && !member.leaving
 }
 
-/** Higher priority first; a base moves before its adapters. */
-function orderRows (rows: readonly types.ModelRow[]): types.ModelRow[] {
+/** Sorts rows by descending priority. A base takes the highest priority of its adapters and precedes them. */
+function sortRows (rows: readonly types.ModelRow[]): types.ModelRow[] {
   const rowsById = new Map(rows.map((row) => [row.id, row]))
-  const effective = new Map(rows.map((row) => [row.id, row.priority]))
+  const effectivePriorities = new Map(rows.map((row) => [row.id, row.priority]))
   for (const row of rows) {
     if (row.base === null || !rowsById.has(row.base)) continue
-    effective.set(row.base, Math.max(effective.get(row.base) ?? 0, row.priority))
+    effectivePriorities.set(row.base, Math.max(effectivePriorities.get(row.base) ?? 0, row.priority))
   }
-  const rank = (row: types.ModelRow): number => effective.get(row.id) ?? row.priority
-  const isAdapter = (row: types.ModelRow): number => row.base === null ? 0 : 1
-  return [...rows].sort((left, right) => rank(right) - rank(left) || isAdapter(left) - isAdapter(right) || (left.id < right.id ? -1 : 1))
+  const effectivePriority = (row: types.ModelRow): number => effectivePriorities.get(row.id) ?? row.priority
+  const dependencyRank = (row: types.ModelRow): number => row.base === null ? 0 : 1
+  return [...rows].sort((left, right) => effectivePriority(right) - effectivePriority(left) || dependencyRank(left) - dependencyRank(right) || (left.id < right.id ? -1 : 1))
 }
 
 function canHold (candidate: Candidate, row: types.ModelRow, assignments: readonly Assignment[]): boolean {
@@ -86,16 +86,16 @@
   return assignments.some((assignment) => assignment.node === candidate.facts.node && assignment.row.id === row.base)
 }
 
-function selectForRow (row: types.ModelRow, able: readonly Candidate[]): Selection {
+function selectForRow (row: types.ModelRow, eligible: readonly Candidate[]): Selection {
   const targets = parseTargets.parseTargets(row.targets)
   if (!targets.ok) return { chosen: new Map(), wanted: 1 }
   const chosen = new Map<Candidate, string>()
   let wanted = 0
   for (const target of targets.value) {
-    const pool = able.filter((candidate) => isInScope(candidate, target) && !chosen.has(candidate))
+    const pool = eligible.filter((candidate) => isInScope(candidate, target) && !chosen.has(candidate))
     const count = countWanted(target, pool.length)
     wanted += count
-    const ranked = spreadOverHalls(row.id, pool)
+    const ranked = interleaveHalls(row.id, pool)
     ranked.slice(0, count).forEach((candidate, index) => chosen.set(candidate, explainChoice(target, index, pool.length)))
   }
   return { chosen, wanted }
@@ -111,26 +111,26 @@
   return target.count === 'all' ? available : target.count
 }
 
-/** Takes one node of each data hall in turn, so that a count survives the loss of a hall as well as it can. */
-function spreadOverHalls (key: string, pool: readonly Candidate[]): Candidate[] {
+/** Orders nodes round-robin over the data halls, so that losing a hall removes as few of the chosen copies as possible. */
+function interleaveHalls (key: string, pool: readonly Candidate[]): Candidate[] {
   const ranked = membership.rankByRendezvous(key, pool, (candidate) => candidate.facts.node)
-  const taken = new Map<types.DataHallId, number>()
-  const rounds = ranked.map((candidate) => {
-    const round = taken.get(candidate.facts.dataHall) ?? 0
-    taken.set(candidate.facts.dataHall, round + 1)
+  const takenByHall = new Map<types.DataHallId, number>()
+  const withRounds = ranked.map((candidate) => {
+    const round = takenByHall.get(candidate.facts.dataHall) ?? 0
+    takenByHall.set(candidate.facts.dataHall, round + 1)
     return { candidate, round }
   })
-  return rounds.sort((left, right) => left.round - right.round).map(({ candidate }) => candidate)
+  return withRounds.sort((left, right) => left.round - right.round).map(({ candidate }) => candidate)
 }
 
 function explainChoice (target: parseTargets.Target, index: number, available: number): string {
   if (target.scope === 'node') return 'named in targets'
-  const place = target.scope === 'fleet' ? 'the fleet' : target.dataHall
+  const scopeName = target.scope === 'fleet' ? 'the fleet' : target.dataHall
   const wanted = target.count === 'all' ? 'every one' : `${target.count}`
-  return `rank ${index + 1} of ${available} able nodes in ${place}, wanted ${wanted}`
+  return `rank ${index + 1} of ${available} able nodes in ${scopeName}, wanted ${wanted}`
 }
 
-function explainShortfall (row: types.ModelRow, able: number): string {
+function explainShortfall (row: types.ModelRow, eligibleCount: number): string {
   const base = row.base === null ? '' : ` with ${row.base}`
-  return `${able} nodes of ${row.service}${base} have ${row.bytes} bytes free`
+  return `${eligibleCount} nodes of ${row.service}${base} have ${row.bytes} bytes free`
 }
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -1,4 +1,4 @@
-/** Decisions about copies: pure functions of the table and the members. */
+/** Placement decisions, as pure functions of the table and the cluster members. */
 export * from './computeOriginGroup/index.js'
 export * from './computePlacement/index.js'
 export * from './mayLeaveVersion/index.js'
--- a/packages/placement/src/mayLeaveVersion/index.ts
+++ b/packages/placement/src/mayLeaveVersion/index.ts
@@ -1,22 +1,24 @@
-/** Decides whose turn it is to stop serving a version while the row changes to another one. */
+/** Limits how many nodes stop serving a row at the same time while it is updated to another version. */
 import type * as types from '@switchridge/types'
 import * as membership from '@switchridge/membership'
 
 /**
- * Tells whether a node may stop serving its old version now, when it has no room for both.
+ * Returns whether a node that has no memory for both versions may stop serving the old one now.
  *
- * @param row - The row that changes.
- * @param node - The node that asks.
- * @param members - The members seen.
+ * Only as many of the live replicas may stop as exceed `minimumServing`; rendezvous hashing decides which of the outdated ones go first.
+ *
+ * @param row - The row that is being updated.
+ * @param node - The node that wants to stop serving.
+ * @param members - The known members.
  * @returns True if enough replicas keep serving the row.
  */
 export function mayLeaveVersion (row: types.ModelRow, node: types.NodeId, members: readonly membership.Member[]): boolean {
   const replicas = members.filter((member) => member.condition === 'live' && !member.leaving && servesRow(member, row.id))
-  const unchanged = replicas.filter((member) => !servesManifest(member, row))
-  const turns = replicas.length - row.minimumServing
-  const ranked = membership.rankByRendezvous(row.id, unchanged, (member) => member.facts.node)
+  const outdated = replicas.filter((member) => !servesManifest(member, row))
+  const maximumStopping = replicas.length - row.minimumServing
+  const ranked = membership.rankByRendezvous(row.id, outdated, (member) => member.facts.node)
   const rank = ranked.findIndex((member) => member.facts.node === node)
-  return rank === -1 || rank < turns
+  return rank === -1 || rank < maximumStopping
 }
 
 function servesRow (member: membership.Member, row: types.RowId): boolean {
