--- a/packages/daemon/src/_lib/callOracle.ts
+++ b/packages/daemon/src/_lib/callOracle.ts
@@ -1,60 +1,60 @@
-/** What must hold for every call, judged by what callers and engines saw; for tests. */
+/** Test oracle: checks the guarantees for every call against what callers and engines observed. */
 import type * as testing from '@switchridge/platform-testing'
 
-/** A call and its answer as its caller saw it. */
+/** A call and its answer, as the caller observed them. */
 export interface SeenCall {
   readonly id: string
   readonly kind: 'repeatable' | 'once' | 'stream'
-  /** 0 when the connection ended without an answer. */
+  /** HTTP status; 0 if the connection ended without an answer. */
   readonly status: number
   readonly body: string
   readonly isWhole: boolean
   readonly seal: string | null
 }
 
-/** A rule that was broken, and by which call. */
+/** A guarantee that was broken for a call. */
 export interface Violation {
   readonly rule: 'twice' | 'refused-but-run' | 'foreign-answer' | 'short-answer' | 'event-order' | 'attempts' | 'unasked'
   readonly id: string
 }
 
-/** Statuses that promise that the call did not run and never will. */
-const PROMISES: ReadonlySet<number> = new Set([503, 429, 408, 421])
+/** Statuses that guarantee that the call was not executed and never will be. */
+const NOT_EXECUTED_STATUSES: ReadonlySet<number> = new Set([503, 429, 408, 421])
 
 /**
- * Finds broken rules.
+ * Finds broken guarantees.
  *
- * @param calls - All calls of a run.
+ * @param calls - All calls of a test run.
  * @param arrivals - All requests that reached engines.
- * @param events - Events of a whole stream.
- * @param maximumAttempts - Engines that one call may be sent to.
- * @returns What was broken; empty when all holds.
+ * @param expectedEvents - Number of events in a complete stream.
+ * @param maximumAttempts - Maximum number of engines that a call may be sent to.
+ * @returns The violations; empty if every guarantee holds.
  */
-export function findViolations (calls: readonly SeenCall[], arrivals: readonly testing.Arrival[], events: number, maximumAttempts: number): Violation[] {
-  const known = new Set(calls.map((call) => call.id))
-  const unasked = arrivals.filter((arrival) => !known.has(arrival.requestId)).map((arrival): Violation => ({ rule: 'unasked', id: arrival.requestId }))
-  return [...unasked, ...calls.flatMap((call) => judge(call, arrivals.filter((arrival) => arrival.requestId === call.id), events, maximumAttempts))]
+export function findViolations (calls: readonly SeenCall[], arrivals: readonly testing.Arrival[], expectedEvents: number, maximumAttempts: number): Violation[] {
+  const callIds = new Set(calls.map((call) => call.id))
+  const unsolicited = arrivals.filter((arrival) => !callIds.has(arrival.requestId)).map((arrival): Violation => ({ rule: 'unasked', id: arrival.requestId }))
+  return [...unsolicited, ...calls.flatMap((call) => checkCall(call, arrivals.filter((arrival) => arrival.requestId === call.id), expectedEvents, maximumAttempts))]
 }
 
-function judge (call: SeenCall, own: readonly testing.Arrival[], events: number, maximumAttempts: number): Violation[] {
-  const ran = own.filter((arrival) => arrival.ran).length
-  const broken: Array<Violation['rule']> = []
-  if (call.kind === 'once' && ran > 1) broken.push('twice')
-  if (call.kind === 'once' && PROMISES.has(call.status) && ran > 0) broken.push('refused-but-run')
-  if (own.length > maximumAttempts) broken.push('attempts')
-  if (call.status === 200) broken.push(...judgeSuccess(call, events))
-  return broken.map((rule) => ({ rule, id: call.id }))
+function checkCall (call: SeenCall, ownArrivals: readonly testing.Arrival[], expectedEvents: number, maximumAttempts: number): Violation[] {
+  const executions = ownArrivals.filter((arrival) => arrival.ran).length
+  const brokenRules: Array<Violation['rule']> = []
+  if (call.kind === 'once' && executions > 1) brokenRules.push('twice')
+  if (call.kind === 'once' && NOT_EXECUTED_STATUSES.has(call.status) && executions > 0) brokenRules.push('refused-but-run')
+  if (ownArrivals.length > maximumAttempts) brokenRules.push('attempts')
+  if (call.status === 200) brokenRules.push(...checkSuccessfulAnswer(call, expectedEvents))
+  return brokenRules.map((rule) => ({ rule, id: call.id }))
 }
 
-function judgeSuccess (call: SeenCall, events: number): Array<Violation['rule']> {
-  if (call.kind === 'stream') return judgeStream(call, events)
+function checkSuccessfulAnswer (call: SeenCall, expectedEvents: number): Array<Violation['rule']> {
+  if (call.kind === 'stream') return checkStream(call, expectedEvents)
   if (!call.isWhole) return []
   if (call.seal === null || !call.body.endsWith(` to ${call.id}`)) return ['foreign-answer']
   return call.body === `answer of ${call.seal.replace('seal-', '')} to ${call.id}` ? [] : ['short-answer']
 }
 
-function judgeStream (call: SeenCall, events: number): Array<Violation['rule']> {
+function checkStream (call: SeenCall, expectedEvents: number): Array<Violation['rule']> {
   const ids = [...call.body.matchAll(/^id: (\d+)$/gm)].map((match) => Number(match[1]))
   if (ids.some((id, index) => id !== index + 1)) return ['event-order']
-  return call.isWhole && ids.length !== events ? ['short-answer'] : []
+  return call.isWhole && ids.length !== expectedEvents ? ['short-answer'] : []
 }
--- a/packages/daemon/src/_lib/copyParts.ts
+++ b/packages/daemon/src/_lib/copyParts.ts
@@ -1,30 +1,30 @@
-/** Which part of a kind's objects a role needs, and how a copy of it is asked for. */
+/** Parts of replicated objects: which part of a kind each role keeps a copy of, and the path to request it. */
 import * as platform from '@switchridge/platform'
 import type * as spread from '@switchridge/spread'
 import type * as store from '@switchridge/store'
 
-/** `services`: the configuration without routes, tenants and their keys. */
+/** `services` is the configuration without routes, tenants and their keys; `whole` is the unreduced objects. */
 export type CopyPart = 'whole' | 'services'
 
-/** Daemons are asked for copies under this path, followed by kind, part and revision. */
+/** Path under which daemons serve copies, followed by kind, part and revision. */
 export const COPIES_PATH = '/copies/'
 
-/** Which part of a kind a daemon holds; an agent decides nothing by routes and keys. */
+/** Returns the part of a kind that a role keeps. Agents make no decision that needs routes and keys, so they keep only the services. */
 export function partOf (kind: string, role: spread.Heartbeat['role']): CopyPart {
   return role === 'agent' && kind === platform.KINDS.configuration ? 'services' : 'whole'
 }
 
-/** Whether who holds one part can tell the other one. */
-export function holds (held: CopyPart, wanted: CopyPart): boolean {
-  return held === 'whole' || held === wanted
+/** Returns whether a daemon that has one part can serve the wanted one. */
+export function holds (available: CopyPart, wanted: CopyPart): boolean {
+  return available === 'whole' || available === wanted
 }
 
-/** Takes the wanted part out of objects. */
+/** Extracts the wanted part of objects. */
 export function takePart (objects: readonly store.StoredObject[], wanted: CopyPart): readonly store.StoredObject[] {
   return wanted === 'whole' ? objects : objects.map((object) => ({ ...object, value: platform.takeServices(object.value) }))
 }
 
-/** Formats the path of a request; names of kinds are plain words. */
+/** Formats the path to request the changes since a revision. Names of kinds are plain words and need no escaping. */
 export function formatCopyPath (kind: string, part: CopyPart, since: number): string {
   return `${COPIES_PATH}${kind}/${part}/${since}`
 }
--- a/packages/daemon/src/_lib/createAgentPermits.ts
+++ b/packages/daemon/src/_lib/createAgentPermits.ts
@@ -1,14 +1,14 @@
-/** The permits that an agent gives for the back end beside it. */
+/** Permit server of an agent, which enforces the rate limit of the backend server on its node. */
 import * as rateLimits from '@switchridge/rate-limits'
 import type * as createFleetExchange from '../createFleetExchange/index.js'
 import type * as createFleetParts from '../createFleetParts/index.js'
 
 /**
- * Creates the server of an agent, which always counts.
+ * Creates the permit server of an agent. An agent always counts the permits of its backend server, and grants the full limit.
  *
- * @param parts - Parts of the agent.
- * @param exchange - Its exchange with others; null before it is open.
- * @returns The server.
+ * @param parts - Components of the agent.
+ * @param exchange - Returns the exchange that sends the replies; null until it is open.
+ * @returns The permit server.
  */
 export function createAgentPermits ({ now, metrics }: Pick<createFleetParts.FleetParts, 'now' | 'metrics'>, exchange: () => createFleetExchange.FleetExchange | null): rateLimits.PermitServer {
   return rateLimits.createPermitServer({
--- a/packages/daemon/src/_lib/createBackEndList.ts
+++ b/packages/daemon/src/_lib/createBackEndList.ts
@@ -1,4 +1,4 @@
-/** The back ends that service discovery lists, parsed once for each state of an entry. */
+/** The backend servers listed by service discovery. Each state of an entry is parsed only once. */
 import type * as gateway from '@switchridge/gateway'
 import * as platform from '@switchridge/platform'
 import type * as store from '@switchridge/store'
@@ -6,23 +6,23 @@
 
 /** Options of {@link createBackEndList}. */
 export interface BackEndListOptions {
-  /** Layers that models of a service have; entries tell how many of them a back end holds. */
+  /** Returns the number of layers of the models of a service; entries state how many of them a backend server holds. */
   readonly layersOf: (service: types.ServiceName) => number
-  /** Told once of each state of an entry that names no back end. */
+  /** Called once for each state of an entry that cannot be parsed. */
   readonly onUnreadable: (object: store.StoredObject, error: types.InvalidInputError) => void
 }
 
-/** The list. */
+/** The listed backend servers. */
 export interface BackEndList {
   readonly all: () => readonly gateway.BackEnd[]
-  /** The back end at an address of the form IP:PORT, the last one listed if there are several. */
+  /** Returns the backend server at an address of the form IP:PORT; the last listed one if there are several. */
   readonly at: (address: string) => gateway.BackEnd | undefined
-  /** Takes over the entries as they are now; also called when the layers of a service have changed. */
+  /** Replaces the list with the current entries. Must also be called when the number of layers of a service has changed. */
   readonly adopt: (objects: ReadonlyMap<string, store.StoredObject>) => void
 }
 
-/** An entry as it was last parsed, with the layers that models of its service had then. */
-interface ParsedEntry {
+/** Result of parsing an entry, with the number of layers that it was parsed for. */
+interface CachedEntry {
   readonly backEnd: gateway.BackEnd | null
   readonly layers: number
 }
@@ -30,22 +30,22 @@
 /**
  * Creates an empty list.
  *
- * @param options - What entries are read with, and who hears of those that can't be.
+ * @param options - The layers to parse entries with, and the callback for unreadable ones.
  * @returns The list.
  */
 export function createBackEndList ({ layersOf, onUnreadable }: BackEndListOptions): BackEndList {
-  /** Every change of one entry tells of all of them, which would be parsed anew each time. */
-  const parsedEntries = new WeakMap<store.StoredObject, ParsedEntry>()
+  /** Each change of one entry passes all entries again; the cache avoids parsing the unchanged ones. */
+  const parseCache = new WeakMap<store.StoredObject, CachedEntry>()
   let backEnds: readonly gateway.BackEnd[] = []
   let byAddress: ReadonlyMap<string, gateway.BackEnd> = new Map()
 
   function parse (object: store.StoredObject): gateway.BackEnd | null {
-    const known = parsedEntries.get(object)
-    if (known !== undefined && (known.backEnd === null || known.layers === layersOf(known.backEnd.service))) return known.backEnd
+    const cached = parseCache.get(object)
+    if (cached !== undefined && (cached.backEnd === null || cached.layers === layersOf(cached.backEnd.service))) return cached.backEnd
     const parsed = platform.parseBackEnd(object, (service) => layersOf(service as types.ServiceName))
     if (!parsed.ok) onUnreadable(object, parsed.error)
     const backEnd = parsed.ok ? parsed.value : null
-    parsedEntries.set(object, { backEnd, layers: backEnd === null ? 0 : layersOf(backEnd.service) })
+    parseCache.set(object, { backEnd, layers: backEnd === null ? 0 : layersOf(backEnd.service) })
     return backEnd
   }
 
--- a/packages/daemon/src/_lib/createDrillMethods.ts
+++ b/packages/daemon/src/_lib/createDrillMethods.ts
@@ -1,4 +1,4 @@
-/** Methods that cut this daemon off from others, for drills and measurements; only where the settings allow drills. */
+/** RPC methods that block this daemon's connections to others, for failure drills and measurements; none unless the settings allow drills. */
 import type * as rpc from '@switchridge/rpc'
 import type * as createCommonParts from '../createCommonParts/index.js'
 import * as schemas from './schemas.js'
--- a/packages/daemon/src/_lib/engineNews.test.ts
+++ b/packages/daemon/src/_lib/engineNews.test.ts
@@ -3,37 +3,37 @@
 import * as engineNews from './engineNews.js'
 
 const HOST = '10.0.1.1'
-const NEWS: engineNews.EngineNews = {
+const STATUS: engineNews.EngineStatus = {
   address: `${HOST}:8585`,
   isPaused: true,
   changesInMs: 120,
   report: { bornAt: 1_790_000_000_123, running: 3, waiting: 1, isBusy: true, sequence: 4, pace: 1.5, limitPerSecond: null, models: new Map([['m', 2]]) }
 }
 
-function pass (news: engineNews.EngineNews, host: string, soleModel: string | null = 'm'): engineNews.EngineNews | null {
+function roundTrip (status: engineNews.EngineStatus, host: string, soleModel: string | null = 'm'): engineNews.EngineStatus | null {
   const context = { host, soleModel: () => soleModel }
-  return engineNews.parseEngineNews(JSON.parse(JSON.stringify(engineNews.formatEngineNews(news, context))), context)
+  return engineNews.parseEngineNews(JSON.parse(JSON.stringify(engineNews.formatEngineNews(status, context))), context)
 }
 
-nodeTest.test('news of an engine come back as they were told, with its life, wherever it runs', () => {
-  assert.deepEqual(pass(NEWS, HOST), NEWS)
-  assert.deepEqual(pass(NEWS, '10.0.1.2'), NEWS)
-  const silent = { ...NEWS, report: { ...NEWS.report, bornAt: null } }
-  assert.deepEqual(pass(silent, HOST), silent)
-  assert.deepEqual(pass(NEWS, HOST, null), NEWS)
-  const limited = { ...NEWS, report: { ...NEWS.report, limitPerSecond: 0.5 } }
-  assert.deepEqual(pass(limited, HOST), limited)
+nodeTest.test('an engine status is decoded as it was encoded, including the start time, on any host', () => {
+  assert.deepEqual(roundTrip(STATUS, HOST), STATUS)
+  assert.deepEqual(roundTrip(STATUS, '10.0.1.2'), STATUS)
+  const withoutStartTime = { ...STATUS, report: { ...STATUS.report, bornAt: null } }
+  assert.deepEqual(roundTrip(withoutStartTime, HOST), withoutStartTime)
+  assert.deepEqual(roundTrip(STATUS, HOST, null), STATUS)
+  const limited = { ...STATUS, report: { ...STATUS.report, limitPerSecond: 0.5 } }
+  assert.deepEqual(roundTrip(limited, HOST), limited)
   for (const models of [new Map(), new Map([['other', 3]]), new Map([['m', 2], ['n', 1]])]) {
-    const several = { ...NEWS, report: { ...NEWS.report, models } }
-    assert.deepEqual(pass(several, HOST), several)
+    const several = { ...STATUS, report: { ...STATUS.report, models } }
+    assert.deepEqual(roundTrip(several, HOST), several)
   }
 })
 
-nodeTest.test('a version of which it is not known here whose it is tells nothing', () => {
-  const told = engineNews.formatEngineNews(NEWS, { host: HOST, soleModel: () => 'm' })
-  assert.equal(engineNews.parseEngineNews(told, { host: HOST, soleModel: () => null }), null)
+nodeTest.test('a version without a model name is ignored while the receiver does not know the model', () => {
+  const encoded = engineNews.formatEngineNews(STATUS, { host: HOST, soleModel: () => 'm' })
+  assert.equal(engineNews.parseEngineNews(encoded, { host: HOST, soleModel: () => null }), null)
 })
 
-nodeTest.test('news that are malformed are none', () => {
+nodeTest.test('a malformed status decodes to null', () => {
   for (const value of [null, undefined, {}, [], [1], [8585, 4, null, 0, 0, 0, 1, 0, null], [8585, 0, null, 0, 0, 0, 1, 0, '!'], [8585, 0, null, 0, 0, 0, 1, 0, null, 0], [8585, 0, null, 0, 0, 0, 1, 0, null, 'x']]) assert.equal(engineNews.parseEngineNews(value, { host: HOST, soleModel: () => 'm' }), null)
 })
--- a/packages/daemon/src/_lib/engineNews.ts
+++ b/packages/daemon/src/_lib/engineNews.ts
@@ -1,64 +1,64 @@
-/** What an agent tells of its engine on heartbeats. */
+/** Engine status in the heartbeats of agents: compact encoding and decoding. */
 import * as zod from 'zod'
 import type * as gateway from '@switchridge/gateway'
 
-/** News of one engine. */
-export interface EngineNews {
-  /** Address of the engine, IP:PORT. */
+/** Status of one engine. */
+export interface EngineStatus {
+  /** Address of the engine in the form IP:PORT. */
   readonly address: string
   readonly report: gateway.EngineReport
-  /** Whether it shall get no new work for now. */
+  /** Whether the engine must not get new calls for now. */
   readonly isPaused: boolean
-  /** Milliseconds until it changes its version; null when it will not. */
+  /** Milliseconds until the engine switches to another version; null if no switch is planned. */
   readonly changesInMs: number | null
 }
 
-const PAUSED = 1
-const BUSY = 2
-const FLAGS = PAUSED | BUSY
-/** Starts of lives are long numbers. */
-const RADIX = 36
-/** A list, since heartbeats are many: it takes a third of the bytes of an object with names. */
-const newsSchema = zod.tuple([
-  /** The engine's address, or its port alone where it runs on the agent's own machine. */
+const PAUSED_FLAG = 1
+const BUSY_FLAG = 2
+const ALL_FLAGS = PAUSED_FLAG | BUSY_FLAG
+/** Start times of engines are sent in base 36 because they are long numbers. */
+const START_TIME_RADIX = 36
+/** An array instead of an object, because heartbeats are frequent: it takes a third of the bytes. */
+const statusSchema = zod.tuple([
+  /** Address of the engine, or only its port if it runs on the agent's host. */
   zod.union([zod.string(), zod.number()]),
-  zod.number().int().min(0).max(FLAGS),
+  zod.number().int().min(0).max(ALL_FLAGS),
   zod.number().nullable(),
   zod.number(),
   zod.number(),
   zod.number(),
   zod.number(),
-  /** The version of the only model of the service, 0 for none; models by name where there are several. */
+  /** Version of the service's only model, or 0 if none is loaded; otherwise pairs of model name and version. */
   zod.union([zod.number(), zod.array(zod.tuple([zod.string(), zod.number()]))]),
   zod.string().regex(/^[0-9a-z]+$/).nullable(),
-  /** The limit that the engine names; left out where there is none. */
+  /** Rate limit that the engine states; absent if it states none. */
   zod.number().positive().optional()
 ])
-/** Digits of measured figures; they are not known more closely. */
-const DIGITS = 4
+/** Significant digits that are sent of measured values; they are not more accurate than that. */
+const SIGNIFICANT_DIGITS = 4
 
-/** Where news come from and what their short forms stand for. */
-export interface NewsContext {
-  /** The agent's machine. */
+/** What is needed to expand the abbreviated fields of a status. */
+export interface EngineStatusContext {
+  /** Host of the agent. */
   readonly host: string
-  /** The only model of the engine at an address; null where it may run several, or nothing is known of it. */
+  /** Returns the only model of the engine at an address; null if it may run several or if the engine is unknown. */
   readonly soleModel: (address: string) => string | null
 }
 
 /**
- * Formats news for a heartbeat.
+ * Encodes the status of an engine for a heartbeat.
  *
- * @param news - What the agent says of its engine.
- * @param context - The agent's machine and what it knows of its engine.
- * @returns A value for JSON.
+ * @param status - The status.
+ * @param context - The agent's host and the models that it knows of.
+ * @returns A value that can be serialised as JSON.
  */
-export function formatEngineNews ({ address, report, isPaused, changesInMs }: EngineNews, context: NewsContext): unknown {
+export function formatEngineNews ({ address, report, isPaused, changesInMs }: EngineStatus, context: EngineStatusContext): unknown {
   const { bornAt, running, waiting, isBusy, sequence, pace, limitPerSecond, models } = report
-  const place = address.startsWith(`${context.host}:`) ? Number(address.slice(context.host.length + 1)) : address
-  const flags = (isPaused ? PAUSED : 0) | (isBusy ? BUSY : 0)
-  const changes = changesInMs === null ? null : Math.round(changesInMs)
+  const shortAddress = address.startsWith(`${context.host}:`) ? Number(address.slice(context.host.length + 1)) : address
+  const flags = (isPaused ? PAUSED_FLAG : 0) | (isBusy ? BUSY_FLAG : 0)
+  const roundedChangesInMs = changesInMs === null ? null : Math.round(changesInMs)
   const limit = limitPerSecond === null ? [] : [limitPerSecond]
-  return [place, flags, changes, running, waiting, sequence, Number(pace.toPrecision(DIGITS)), formatModels(models, context.soleModel(address)), bornAt === null ? null : bornAt.toString(RADIX), ...limit]
+  return [shortAddress, flags, roundedChangesInMs, running, waiting, sequence, Number(pace.toPrecision(SIGNIFICANT_DIGITS)), formatModels(models, context.soleModel(address)), bornAt === null ? null : bornAt.toString(START_TIME_RADIX), ...limit]
 }
 
 function formatModels (models: ReadonlyMap<string, number>, soleModel: string | null): unknown {
@@ -68,27 +68,27 @@
 }
 
 /**
- * Parses news of a heartbeat.
+ * Decodes the status of an engine from a heartbeat.
  *
- * @param value - What the heartbeat carries.
- * @param context - The agent's machine and what is known of its engine.
- * @returns The news, or null when there is none, or it is unreadable.
+ * @param value - The value in the heartbeat.
+ * @param context - The agent's host and the models that the receiver knows of.
+ * @returns The status, or null if there is none or it cannot be decoded.
  */
-export function parseEngineNews (value: unknown, context: NewsContext): EngineNews | null {
+export function parseEngineNews (value: unknown, context: EngineStatusContext): EngineStatus | null {
   if (value === null || value === undefined) return null
-  const parsed = newsSchema.safeParse(value)
+  const parsed = statusSchema.safeParse(value)
   if (!parsed.success) return null
-  const [place, flags, changesInMs, running, waiting, sequence, pace, told, born, limit] = parsed.data
-  const address = typeof place === 'number' ? `${context.host}:${place}` : place
-  const models = readModels(told, context.soleModel(address))
+  const [shortAddress, flags, changesInMs, running, waiting, sequence, pace, encodedModels, encodedStart, limit] = parsed.data
+  const address = typeof shortAddress === 'number' ? `${context.host}:${shortAddress}` : shortAddress
+  const models = parseModels(encodedModels, context.soleModel(address))
   if (models === null) return null
-  const report = { bornAt: born === null ? null : parseInt(born, RADIX), running, waiting, isBusy: (flags & BUSY) > 0, sequence, pace, limitPerSecond: limit ?? null, models }
-  return { address, isPaused: (flags & PAUSED) > 0, changesInMs, report }
+  const report = { bornAt: encodedStart === null ? null : parseInt(encodedStart, START_TIME_RADIX), running, waiting, isBusy: (flags & BUSY_FLAG) > 0, sequence, pace, limitPerSecond: limit ?? null, models }
+  return { address, isPaused: (flags & PAUSED_FLAG) > 0, changesInMs, report }
 }
 
-/** Null while it is not known here which model a version is of. */
-function readModels (told: number | Array<[string, number]>, soleModel: string | null): Map<string, number> | null {
-  if (typeof told !== 'number') return new Map(told)
-  if (told === 0) return new Map()
-  return soleModel === null ? null : new Map([[soleModel, told]])
+/** Decodes the models; null if only a version was sent and the receiver does not know which model it belongs to. */
+function parseModels (encodedModels: number | Array<[string, number]>, soleModel: string | null): Map<string, number> | null {
+  if (typeof encodedModels !== 'number') return new Map(encodedModels)
+  if (encodedModels === 0) return new Map()
+  return soleModel === null ? null : new Map([[soleModel, encodedModels]])
 }
--- a/packages/daemon/src/_lib/entryCall.ts
+++ b/packages/daemon/src/_lib/entryCall.ts
@@ -1,4 +1,4 @@
-/** What an entry node reads from a caller's request before it is sent anywhere. */
+/** Helpers with which an entry node interprets a caller's request before it forwards it. */
 import * as crypto from 'node:crypto'
 import type * as Koa from 'koa'
 import * as quarantine from '@switchridge/quarantine'
@@ -7,36 +7,36 @@
 import type * as sendAttempt from '../sendAttempt/index.js'
 import * as callHeaders from './callHeaders.js'
 
-const READ_METHODS = new Set(['GET', 'HEAD'])
-const BEARER = 'Bearer '
-const ANONYMOUS: types.AccountRow = { id: types.brandId('anonymous'), keyDigest: types.brandId(''), share: 1, callsPerSecond: 0, priority: 'interactive' }
+const SAFE_METHODS = new Set(['GET', 'HEAD'])
+const BEARER_PREFIX = 'Bearer '
+const ANONYMOUS_ACCOUNT: types.AccountRow = { id: types.brandId('anonymous'), keyDigest: types.brandId(''), share: 1, callsPerSecond: 0, priority: 'interactive' }
 
-/** Worked out once for each call, whose body may have megabytes. */
-const fingerprints = new WeakMap<sendAttempt.OutgoingCall, quarantine.CallFingerprint>()
+/** Computed once for each call, since bodies may have several megabytes. */
+const fingerprintCache = new WeakMap<sendAttempt.OutgoingCall, quarantine.CallFingerprint>()
 
-/** Names what a call asks for, so that it is known when it is sent again. */
+/** Computes the fingerprint of a call, by which a repetition of the same call is recognised. */
 export function identify (call: sendAttempt.OutgoingCall): quarantine.CallFingerprint {
   const { account, method, service, row, path, body } = call
-  const fingerprint = fingerprints.get(call) ?? quarantine.identifyCall({ account: account.id, method, host: `${service}/${row}`, path, body })
-  fingerprints.set(call, fingerprint)
+  const fingerprint = fingerprintCache.get(call) ?? quarantine.identifyCall({ account: account.id, method, host: `${service}/${row}`, path, body })
+  fingerprintCache.set(call, fingerprint)
   return fingerprint
 }
 
-/** Whether a service's calls of a method may run more than once. */
+/** Returns whether calls of a service with this HTTP method may be executed more than once. */
 export function isRepeatable (service: types.ServiceRow, method: string): boolean {
-  return service.repeatable === 'all' || (service.repeatable === 'reads' && READ_METHODS.has(method))
+  return service.repeatable === 'all' || (service.repeatable === 'reads' && SAFE_METHODS.has(method))
 }
 
-/** The account of a caller by its key; any caller's where no accounts are set, none for a key that is not known. */
+/** Finds the account of a caller by its API key. Returns the anonymous account if no accounts are configured, and undefined if the key is missing or unknown. */
 export function findAccount (table: types.Table, authorization: string): types.AccountRow | undefined {
-  if (table.accounts.length === 0) return ANONYMOUS
-  if (!authorization.startsWith(BEARER)) return undefined
-  const digest = crypto.createHash('sha256').update(authorization.slice(BEARER.length)).digest('hex')
+  if (table.accounts.length === 0) return ANONYMOUS_ACCOUNT
+  if (!authorization.startsWith(BEARER_PREFIX)) return undefined
+  const digest = crypto.createHash('sha256').update(authorization.slice(BEARER_PREFIX.length)).digest('hex')
   return table.accounts.find((account) => rpc.isSameSecret(account.keyDigest, digest))
 }
 
-/** Milliseconds that a caller waits, no more than the service allows. */
+/** Returns the timeout that the caller requests, limited to the service's deadline, in milliseconds. */
 export function readTimeout (context: Koa.Context, service: types.ServiceRow): number {
-  const wanted = Number(context.get(callHeaders.TIMEOUT_HEADER))
-  return wanted > 0 ? Math.min(wanted, service.deadlineMs) : service.deadlineMs
+  const requestedMs = Number(context.get(callHeaders.TIMEOUT_HEADER))
+  return requestedMs > 0 ? Math.min(requestedMs, service.deadlineMs) : service.deadlineMs
 }
--- a/packages/daemon/src/_lib/fetchWhole.test.ts
+++ b/packages/daemon/src/_lib/fetchWhole.test.ts
@@ -6,20 +6,20 @@
 import * as types from '@switchridge/types'
 import * as fetchWhole from './fetchWhole.js'
 
-const SILENCE_MS = 400
-const PARTS = 8
-const PART_PAUSE_MS = 100
-/** Bounds of every fetch. */
-const FETCH_BOUND_MS = 30_000
-const FETCH_BOUND_BYTES = 16 * types.BYTES_IN_MEBIBYTE
-/** Turns of the runtime within which something on loopback is there. */
+const IDLE_TIMEOUT_MS = 400
+const PART_COUNT = 8
+const PART_INTERVAL_MS = 100
+/** Limits that apply to every fetch. */
+const FETCH_TIMEOUT_MS = 30_000
+const MAXIMUM_FETCH_BYTES = 16 * types.BYTES_IN_MEBIBYTE
+/** Turns of the event loop within which data on loopback arrives. */
 const MAXIMUM_TURNS = 100_000
 
 async function waitUntil (condition: () => boolean): Promise<void> {
   for (let turn = 0; !condition() && turn < MAXIMUM_TURNS; turn += 1) await new Promise((resolve) => { setImmediate(resolve) })
 }
 
-async function openServer (context: nodeTest.TestContext, answer: http.RequestListener): Promise<string> {
+async function startServer (context: nodeTest.TestContext, answer: http.RequestListener): Promise<string> {
   const server = http.createServer(answer)
   await new Promise<void>((resolve) => { server.listen(0, '127.0.0.1', resolve) })
   context.after(() => {
@@ -29,61 +29,61 @@
   return `http://127.0.0.1:${(server.address() as net.AddressInfo).port}`
 }
 
-/** Sends an answer in parts; after `sent` of them it is silent. */
-async function openSlowServer (context: nodeTest.TestContext, sent: number): Promise<string> {
-  return await openServer(context, (_request, response) => {
+/** Sends a response in parts and stalls after `sentParts` of them. */
+async function startSlowServer (context: nodeTest.TestContext, sentParts: number): Promise<string> {
+  return await startServer(context, (_request, response) => {
     void (async () => {
-      for (let part = 0; part < sent; part += 1) {
+      for (let part = 0; part < sentParts; part += 1) {
         response.write('x')
-        await types.delay(PART_PAUSE_MS)
+        await types.delay(PART_INTERVAL_MS)
       }
-      if (sent === PARTS) response.end()
+      if (sentParts === PART_COUNT) response.end()
     })()
   })
 }
 
-async function fetchFrom (context: nodeTest.TestContext, base: string, silenceMs: number): Promise<types.Outcome<rpc.WholeAnswer, types.UnavailableError>> {
+async function fetchFrom (context: nodeTest.TestContext, base: string, idleTimeoutMs: number): Promise<types.Outcome<rpc.WholeAnswer, types.UnavailableError>> {
   const agents = rpc.createHttpAgents()
   context.after(() => { agents.destroy() })
-  return await fetchWhole.fetchWhole(agents, { base, path: '/', method: 'GET', headers: {} }, silenceMs)
+  return await fetchWhole.fetchWhole(agents, { base, path: '/', method: 'GET', headers: {} }, idleTimeoutMs)
 }
 
-async function fetch (context: nodeTest.TestContext, sent: number): Promise<types.Outcome<rpc.WholeAnswer, types.UnavailableError>> {
-  return await fetchFrom(context, await openSlowServer(context, sent), SILENCE_MS)
+async function fetchFromSlowServer (context: nodeTest.TestContext, sentParts: number): Promise<types.Outcome<rpc.WholeAnswer, types.UnavailableError>> {
+  return await fetchFrom(context, await startSlowServer(context, sentParts), IDLE_TIMEOUT_MS)
 }
 
-nodeTest.test('an answer that takes longer than the silence allowed is read to its end while bytes come', async (context) => {
-  const answer = await fetch(context, PARTS)
+nodeTest.test('a response that takes longer than the idle timeout is read completely while bytes keep arriving', async (context) => {
+  const answer = await fetchFromSlowServer(context, PART_COUNT)
   assert.ok(answer.ok)
-  assert.equal(answer.value.body.length, PARTS)
+  assert.equal(answer.value.body.length, PART_COUNT)
 })
 
-nodeTest.test('an answer that falls silent in the middle is given up', async (context) => {
-  assert.equal((await fetch(context, 2)).ok, false)
+nodeTest.test('a response that stalls halfway is aborted', async (context) => {
+  assert.equal((await fetchFromSlowServer(context, 2)).ok, false)
 })
 
-nodeTest.test('an answer that never begins is given up', async (context) => {
-  assert.equal((await fetch(context, 0)).ok, false)
+nodeTest.test('a response that never begins is aborted', async (context) => {
+  assert.equal((await fetchFromSlowServer(context, 0)).ok, false)
 })
 
-nodeTest.test('an answer that exceeds the bound of bytes is dropped with its reason', async (context) => {
-  const base = await openServer(context, (_request, response) => { response.end(Buffer.alloc(FETCH_BOUND_BYTES + 1)) })
-  const answer = await fetchFrom(context, base, SILENCE_MS)
+nodeTest.test('a response that exceeds the maximum size is rejected with the reason', async (context) => {
+  const base = await startServer(context, (_request, response) => { response.end(Buffer.alloc(MAXIMUM_FETCH_BYTES + 1)) })
+  const answer = await fetchFrom(context, base, IDLE_TIMEOUT_MS)
   assert.ok(!answer.ok)
   assert.match(answer.error.message, /exceeds/)
 })
 
-nodeTest.test('an answer that is not whole within the overall time is given up, though it was never silent for long', async (context) => {
+nodeTest.test('a response that is not complete within the overall timeout is aborted, even before the idle timeout', async (context) => {
   context.mock.timers.enable({ apis: ['setTimeout'] })
   let hasBegun = false
-  const base = await openServer(context, (_request, response) => {
+  const base = await startServer(context, (_request, response) => {
     response.write('x')
     hasBegun = true
   })
   let answer: types.Outcome<rpc.WholeAnswer, types.UnavailableError> | null = null
-  void fetchFrom(context, base, 2 * FETCH_BOUND_MS).then((each) => { answer = each })
+  void fetchFrom(context, base, 2 * FETCH_TIMEOUT_MS).then((outcome) => { answer = outcome })
   await waitUntil(() => hasBegun)
-  context.mock.timers.tick(FETCH_BOUND_MS + 1)
+  context.mock.timers.tick(FETCH_TIMEOUT_MS + 1)
   await waitUntil(() => answer !== null)
   assert.match(JSON.stringify(answer), /"ok":false/)
 })
--- a/packages/daemon/src/_lib/fetchWhole.ts
+++ b/packages/daemon/src/_lib/fetchWhole.ts
@@ -1,21 +1,21 @@
-/** Reads whole answers of agents, which may take long on narrow links. */
+/** Fetches complete responses from agents with an idle timeout, since they may take long on slow links. */
 import * as rpc from '@switchridge/rpc'
 import * as types from '@switchridge/types'
 
-/** No piece or manifest takes longer, however slowly it keeps arriving; a tenth of the rate of the narrowest link carries a piece within it. */
-export const FETCH_MAXIMUM_MS = 30_000
-/** Far above a piece or a manifest; a larger answer could fill the memory. */
-export const FETCH_MAXIMUM_BYTES = 16 * types.BYTES_IN_MEBIBYTE
+/** Limit for a response that keeps arriving, however slowly. A piece arrives within it at a tenth of the rate of the slowest link. */
+export const FETCH_TIMEOUT_MS = 30_000
+/** Far above the size of a piece or a manifest; prevents a larger response from filling the memory. */
+export const MAXIMUM_FETCH_BYTES = 16 * types.BYTES_IN_MEBIBYTE
 
 /**
- * Sends a request and reads the whole answer. Up to {@link FETCH_MAXIMUM_MS} and {@link FETCH_MAXIMUM_BYTES} only silence ends it:
- * an answer that is cut while its bytes arrive would be sent again over the same full links.
+ * Sends a request and reads the complete response. Within {@link FETCH_TIMEOUT_MS} and {@link MAXIMUM_FETCH_BYTES} it is aborted only
+ * when no byte arrives for the idle timeout: a response that is aborted while it still arrives would be sent again over the same congested links.
  *
- * @param agents - Connection pools.
+ * @param agents - The connection pools.
  * @param request - The request.
- * @param silenceMs - Milliseconds without a byte after which it is given up.
- * @returns Status, headers and body.
+ * @param idleTimeoutMs - Milliseconds without a received byte after which the request is aborted.
+ * @returns Status, headers and body, or the failure.
  */
-export async function fetchWhole (agents: rpc.HttpAgents, request: Omit<rpc.OutgoingRequest, 'timeoutMs' | 'quietMs' | 'firstByteMs' | 'signal'>, silenceMs: number): Promise<types.Outcome<rpc.WholeAnswer, types.UnavailableError>> {
-  return await rpc.sendRequest(agents, { ...request, quietMs: silenceMs, timeoutMs: FETCH_MAXIMUM_MS }, FETCH_MAXIMUM_BYTES)
+export async function fetchWhole (agents: rpc.HttpAgents, request: Omit<rpc.OutgoingRequest, 'timeoutMs' | 'quietMs' | 'firstByteMs' | 'signal'>, idleTimeoutMs: number): Promise<types.Outcome<rpc.WholeAnswer, types.UnavailableError>> {
+  return await rpc.sendRequest(agents, { ...request, quietMs: idleTimeoutMs, timeoutMs: FETCH_TIMEOUT_MS }, MAXIMUM_FETCH_BYTES)
 }
--- a/packages/daemon/src/_lib/fleetRole.ts
+++ b/packages/daemon/src/_lib/fleetRole.ts
@@ -1,13 +1,13 @@
 /** A running gateway or agent. */
 import type * as settings from '@switchridge/settings'
 
-/** What the process does with its role. */
+/** Controls of a running gateway or agent. */
 export interface FleetRole {
-  /** Takes no new work and resolves when what is under way has ended. */
+  /** Stops accepting new work and resolves when the work in progress has ended. */
   readonly drain: () => Promise<void>
-  /** Puts changed settings in force, as far as a running process can. */
+  /** Applies changed settings, as far as possible without a restart. */
   readonly reload: (next: settings.FleetSettings) => void
   readonly stop: () => void
-  /** Daemons heard of lately, this one not included. */
+  /** Returns the number of other daemons that are currently known as live. */
   readonly countPeers: () => number
 }
--- a/packages/daemon/src/_lib/fleetTesting.ts
+++ b/packages/daemon/src/_lib/fleetTesting.ts
@@ -1,4 +1,4 @@
-/** A small fleet in this process for tests: stand-ins of the platform, gateways and agents. */
+/** A small fleet within the test process: stand-ins for the platform's services, gateways and agents. */
 import type * as nodeTest from 'node:test'
 import * as assert from 'node:assert/strict'
 import * as clock from '@switchridge/clock'
@@ -12,8 +12,8 @@
 
 export const MODEL = 'model-a'
 export const KEY = 'key-of-tenant-one'
-const POLL_MS = 10
-const READY = 200
+const POLL_INTERVAL_MS = 10
+const HTTP_OK = 200
 
 /** The fleet of one test. */
 export interface TestFleet {
@@ -21,43 +21,43 @@
   readonly origin: testing.OriginStandIn
   readonly startEngine: (options: testing.EngineStandInOptions, service?: string) => Promise<testing.EngineStandIn>
   readonly startGateway: (host: string, seeds?: readonly string[], clocks?: clock.MachineClocks) => Promise<types.Address>
-  /** Ends the gateway on a host at once, as a kill does. */
+  /** Stops the gateway on a host without draining, as if it were killed. */
   readonly stopGateway: (host: string) => void
-  /** Waits until each gateway knows of so many back ends that ended. */
+  /** Waits until each gateway knows of exactly `count` terminated backend servers. */
   readonly untilEndsKnown: (count: number) => Promise<void>
-  /** Waits until each gateway has a call that is blocked. */
+  /** Waits until each gateway lists a blocked call. */
   readonly untilBlocked: () => Promise<void>
-  /** Waits until each gateway knows of so many limits in force. */
+  /** Waits until each gateway knows of exactly `count` rate limits in force. */
   readonly untilLimited: (count: number) => Promise<void>
-  /** Reads a counter of the gateway on a host, for one value of its label; 0 while it has counted nothing. */
+  /** Reads a counter of the gateway on a host for a label value; 0 if nothing was counted yet. */
   readonly readCounter: (host: string, name: string, label: string) => Promise<number>
-  /** Waits until the gateway on a host says that it is ready. */
+  /** Waits until the readiness endpoint of the gateway on a host answers that it is ready. */
   readonly untilReady: (host: string) => Promise<void>
-  /** Tells the gateway on a host to end, as the platform does. */
+  /** Drains the gateway on a host, as the platform does before it ends it. */
   readonly drainGateway: (host: string) => Promise<void>
   readonly startAgent: (host: string, engine: testing.EngineStandIn, seeds: readonly string[]) => Promise<fleetRole.FleetRole>
-  /** Ports that are free on the loopback addresses of the test. */
+  /** Free ports on the loopback addresses of the test. */
   readonly ports: TestPorts
   readonly configure: (change?: (configuration: testing.Configuration) => void) => void
 }
 
-/** The part of a gateway's status that tests read. */
+/** The fields of a gateway's status that tests read. */
 interface GatewayStatus {
   readonly endsKnown: number
   readonly blockedCalls: readonly unknown[]
   readonly rateLimits: readonly unknown[]
 }
 
-/** Waits without a limit of its own; the runner's limit ends a test that hangs. */
+/** Polls until the condition holds. It has no timeout; the test runner's timeout ends a test that hangs. */
 export async function until (condition: () => boolean | Promise<boolean>): Promise<void> {
-  while (!await condition()) await types.delay(POLL_MS)
+  while (!await condition()) await types.delay(POLL_INTERVAL_MS)
 }
 
 /**
- * Opens the stand-ins; daemons are started by the test.
+ * Starts the stand-ins of the store and the origin. Daemons and engines are started by the test.
  *
- * @param context - The test; all is closed after it.
- * @param pieces - Pieces of a version of weights.
+ * @param context - The test; everything is stopped when it ends.
+ * @param pieces - Number of pieces in a version of the weights.
  * @returns The fleet.
  */
 export async function openFleet (context: nodeTest.TestContext, pieces = 8): Promise<TestFleet> {
@@ -73,18 +73,18 @@
     for (const server of servers) server.close()
   })
 
-  function parse (text: string): settings.FleetSettings {
+  function parseSettings (text: string): settings.FleetSettings {
     const parsed = settings.parseFleetSettings(text, 'test')
     assert.ok(parsed.ok, parsed.ok ? '' : parsed.error.message)
     return parsed.value
   }
 
-  function describe (role: string, host: string, seeds: readonly string[]): string {
+  function formatCommonSettings (role: string, host: string, seeds: readonly string[]): string {
     return `role = "${role}"\nnode = "${role}-${host}"\nzone = "zone-a"\nregion = "region-a"\nhost = "${host}"\ninternal_port = ${ports.internal}\n` +
       `seeds = [${seeds.map((seed) => `"${seed}:1"`).join()}]\n`
   }
 
-  /** What all gateways tell operators. */
+  /** Fetches the status of every gateway. */
   async function readStatuses (): Promise<GatewayStatus[]> {
     return await Promise.all([...gateways.keys()].map(async (host) => {
       const { body } = await testing.sendCallerRequest({ host, port: ports.control }, KEY, { path: '/status', id: 'status' })
@@ -106,7 +106,7 @@
     },
     startGateway: async (host, seeds = [], clocks = clock.PROCESS_CLOCKS) => {
       const listen = `[listen]\ncallers = "${host}:${ports.callers}"\nreadiness = "${host}:${ports.readiness}"\ncontrol = "${host}:${ports.control}"\n`
-      const role = await startGatewayRole.startGatewayRole(parse(describe('gateway', host, seeds) + listen + storeSection + '[bounds]\nversion_ms = 3000\n[limits]\ngrace_seconds = 1\n'), { clocks, writeLine: () => {} })
+      const role = await startGatewayRole.startGatewayRole(parseSettings(formatCommonSettings('gateway', host, seeds) + listen + storeSection + '[bounds]\nversion_ms = 3000\n[limits]\ngrace_seconds = 1\n'), { clocks, writeLine: () => {} })
       roles.push(role)
       gateways.set(host, role)
       return { host, port: ports.callers }
@@ -123,16 +123,16 @@
     untilLimited: async (count) => { await until(async () => (await readStatuses()).every(({ rateLimits }) => rateLimits.length === count)) },
     readCounter: async (host, name, label) => {
       const { body } = await testing.sendCallerRequest({ host, port: ports.control }, KEY, { path: '/metrics', id: 'metrics' })
-      const line = body.split('\n').find((each) => each.includes(`${name}_total{`) && each.includes(`"${label}"`))
+      const line = body.split('\n').find((metricLine) => metricLine.includes(`${name}_total{`) && metricLine.includes(`"${label}"`))
       return Number(line?.split(' ').at(-1) ?? 0)
     },
     untilReady: async (host) => {
-      await until(async () => (await testing.sendCallerRequest({ host, port: ports.readiness }, KEY, { path: platform.READINESS_PATH, id: 'readiness' })).status === READY)
+      await until(async () => (await testing.sendCallerRequest({ host, port: ports.readiness }, KEY, { path: platform.READINESS_PATH, id: 'readiness' })).status === HTTP_OK)
     },
     drainGateway: async (host) => { await gateways.get(host)?.drain() },
     startAgent: async (host, engine, seeds) => {
       const section = `[engine]\naddress = "${testing.formatAddress(engine.address)}"\nservice = "llm"\n`
-      const role = await startAgentRole.startAgentRole(parse(describe('agent', host, seeds) + section + storeSection + '[bounds]\nversion_ms = 6000\n'))
+      const role = await startAgentRole.startAgentRole(parseSettings(formatCommonSettings('agent', host, seeds) + section + storeSection + '[bounds]\nversion_ms = 6000\n'))
       roles.push(role)
       return role
     },
@@ -145,31 +145,31 @@
   }
 }
 
-/** Ports of a test's daemons. */
+/** Ports of the daemons of a test. */
 export interface TestPorts {
   readonly internal: number
   readonly callers: number
   readonly readiness: number
-  /** Where operators ask. */
+  /** Port for metrics and status. */
   readonly control: number
 }
 
-/** Below the ports that the system hands out, so that no other test file's server or connection has them. */
+/** Below the system's ephemeral ports, so that no server or connection of another test file uses them. */
 const FIRST_PORT = 10_000
-const PORTS_OF_PROCESS = 4
-const PROCESSES = 5600
+const PORTS_PER_PROCESS = 4
+const PROCESS_SLOTS = 5600
 
 function choosePorts (): TestPorts {
-  const internal = FIRST_PORT + process.pid % PROCESSES * PORTS_OF_PROCESS
+  const internal = FIRST_PORT + process.pid % PROCESS_SLOTS * PORTS_PER_PROCESS
   return { internal, callers: internal + 1, readiness: internal + 2, control: internal + 3 }
 }
 
-/** Sends a request of the test's tenant and reads the answer to its end. */
+/** Sends a request with the test tenant's API key and reads the complete answer. */
 export async function call (address: types.Address, request: testing.CallerRequest): Promise<testing.CallerAnswer> {
   return await testing.sendCallerRequest(address, KEY, request)
 }
 
-/** Waits until a gateway serves a route. */
+/** Waits until a gateway answers requests to a path with status 200. */
 export async function untilServed (address: types.Address, path: string): Promise<void> {
   let attempt = 0
   await until(async () => {
--- a/packages/daemon/src/_lib/openMetrics.ts
+++ b/packages/daemon/src/_lib/openMetrics.ts
@@ -1,25 +1,25 @@
-/** Opens the addresses at which operators fetch metrics and status. */
+/** HTTP endpoints for operators: metrics and status. */
 import * as platform from '@switchridge/platform'
 import * as types from '@switchridge/types'
 import type * as createFleetParts from '../createFleetParts/index.js'
 import * as openTextServer from '../openTextServer/index.js'
 
-const OK = 200
+const HTTP_OK = 200
 const METRICS_PATH = '/metrics'
 const STATUS_PATH = '/status'
 
 /**
- * Opens what the settings name; an address that can't be had is logged and does not end the daemon.
+ * Opens the endpoints at the addresses in the settings. An address that cannot be bound is logged and does not stop the daemon.
  *
- * @param parts - The daemon's parts.
- * @param describeStatus - The role's state for operators.
- * @returns A function that closes all.
+ * @param parts - Components of the daemon.
+ * @param describeStatus - Returns the status of the role.
+ * @returns A function that closes all endpoints.
  */
 export async function openMetrics (parts: createFleetParts.FleetParts, describeStatus: () => unknown): Promise<() => void> {
   const { settings, metrics, logger } = parts
   const paths = {
-    [METRICS_PATH]: async () => ({ status: OK, type: 'text/plain; version=0.0.4', body: await metrics.format() }),
-    [STATUS_PATH]: () => ({ status: OK, type: 'application/json', body: JSON.stringify(describeStatus()) })
+    [METRICS_PATH]: async () => ({ status: HTTP_OK, type: 'text/plain; version=0.0.4', body: await metrics.format() }),
+    [STATUS_PATH]: () => ({ status: HTTP_OK, type: 'application/json', body: JSON.stringify(describeStatus()) })
   }
   const addresses: types.Address[] = []
   if (settings.metrics.port > 0) addresses.push({ host: settings.host, port: settings.metrics.port })
--- a/packages/daemon/src/_lib/quarantineFacts.test.ts
+++ b/packages/daemon/src/_lib/quarantineFacts.test.ts
@@ -13,16 +13,16 @@
   { kind: 'block', call: CALL, count: 2 }
 ]
 
-nodeTest.test('facts come back as they were told', () => {
+nodeTest.test('facts are decoded as they were encoded', () => {
   for (const fact of FACTS) assert.deepEqual(quarantineFacts.parseFact(JSON.parse(JSON.stringify(quarantineFacts.formatFact(fact)))), fact)
 })
 
-nodeTest.test('lives of one back end differ', () => {
+nodeTest.test('lives of the same backend server have different names', () => {
   assert.notEqual(types.formatLife(types.brandId('i-1'), 1), types.formatLife(types.brandId('i-1'), 2))
 })
 
-nodeTest.test('what is no fact is none', () => {
-  const others = [null, 7, {}, [], ['e'], ['e', 'i-1'], ['e', '', CALL], ['e', 'i-1', 'NO'], ['s'], ['s', 7], ['b', CALL], ['b', CALL, 0], ['b', CALL, 1.5], ['x', CALL]]
-  for (const other of others) assert.equal(quarantineFacts.parseFact(other), null, JSON.stringify(other))
+nodeTest.test('malformed facts decode to null', () => {
+  const malformed = [null, 7, {}, [], ['e'], ['e', 'i-1'], ['e', '', CALL], ['e', 'i-1', 'NO'], ['s'], ['s', 7], ['b', CALL], ['b', CALL, 0], ['b', CALL, 1.5], ['x', CALL]]
+  for (const value of malformed) assert.equal(quarantineFacts.parseFact(value), null, JSON.stringify(value))
   fastCheck.assert(fastCheck.property(fastCheck.jsonValue(), (value) => { assert.doesNotThrow(() => quarantineFacts.parseFact(value)) }), { seed: 7 })
 })
--- a/packages/daemon/src/_lib/quarantineFacts.ts
+++ b/packages/daemon/src/_lib/quarantineFacts.ts
@@ -1,37 +1,37 @@
-/** What gateways tell each other of calls that end back ends. */
+/** Facts that gateways share about calls that terminate backend servers. */
 import * as quarantine from '@switchridge/quarantine'
 import * as types from '@switchridge/types'
 
-/** A fact of the quarantine. */
+/** A fact about the quarantine. */
 export type QuarantineFact =
-  /** A back end ended with these calls of the teller. */
+  /** A backend server terminated while it ran these calls of the gateway that shares the fact. */
   | { readonly kind: 'end', readonly life: types.BackEndLife, readonly calls: readonly quarantine.CallFingerprint[] }
-  /** A suspected call was served to its end. */
+  /** A suspected call was answered completely. */
   | { readonly kind: 'served', readonly call: quarantine.CallFingerprint }
-  /** A call was blocked, for the so many-th time. */
+  /** A call was blocked; `count` tells for which time. */
   | { readonly kind: 'block', readonly call: quarantine.CallFingerprint, readonly count: number }
 
-const END = 'e'
-const SERVED = 's'
-const BLOCK = 'b'
-/** Calls in one fact, so that it fits into a datagram; those beyond go into another one. */
+const END_CODE = 'e'
+const SERVED_CODE = 's'
+const BLOCK_CODE = 'b'
+/** Maximum number of calls in a fact, so that it fits into a datagram; further calls go into another fact. */
 export const MAXIMUM_CALLS = 48
 
-/** Formats a fact as a list that is short in JSON. */
+/** Encodes a fact as an array, which is short in JSON. */
 export function formatFact (fact: QuarantineFact): unknown[] {
-  if (fact.kind === 'end') return [END, fact.life, ...fact.calls]
-  return fact.kind === 'served' ? [SERVED, fact.call] : [BLOCK, fact.call, fact.count]
+  if (fact.kind === 'end') return [END_CODE, fact.life, ...fact.calls]
+  return fact.kind === 'served' ? [SERVED_CODE, fact.call] : [BLOCK_CODE, fact.call, fact.count]
 }
 
-/** Parses a fact; null for what is none. */
+/** Decodes a fact; null if it is malformed or not about the quarantine. */
 export function parseFact (content: unknown): QuarantineFact | null {
   if (!Array.isArray(content)) return null
   const [kind, ...rest] = content as unknown[]
-  if (kind === END) return parseEnd(rest)
+  if (kind === END_CODE) return parseEnd(rest)
   const [call, count] = rest
   if (!quarantine.isFingerprint(call)) return null
-  if (kind === SERVED) return { kind: 'served', call }
-  return kind === BLOCK && Number.isInteger(count) && (count as number) > 0 ? { kind: 'block', call, count: count as number } : null
+  if (kind === SERVED_CODE) return { kind: 'served', call }
+  return kind === BLOCK_CODE && Number.isInteger(count) && (count as number) > 0 ? { kind: 'block', call, count: count as number } : null
 }
 
 function parseEnd ([life, ...calls]: readonly unknown[]): QuarantineFact | null {
--- a/packages/daemon/src/_lib/rateLimitFacts.ts
+++ b/packages/daemon/src/_lib/rateLimitFacts.ts
@@ -1,30 +1,30 @@
-/** What gateways tell each other of rates that back ends name. */
+/** Facts that gateways share about the rate limits that backend servers state. */
 import type * as rateLimits from '@switchridge/rate-limits'
 import * as types from '@switchridge/types'
 
-const LIMIT = 'l'
-/** Stands for a limit that has ended: no limit is zero. */
-const ENDED = 0
+const LIMIT_CODE = 'l'
+/** Encodes a limit that has ended; a real limit is never zero. */
+const ENDED_RATE = 0
 
-/** Formats a limit as a list that is short in JSON. */
+/** Encodes a limit as an array, which is short in JSON. */
 export function formatFact ({ life, perSecond }: rateLimits.RateLimit): unknown[] {
-  return [LIMIT, life, perSecond ?? ENDED]
+  return [LIMIT_CODE, life, perSecond ?? ENDED_RATE]
 }
 
-/** Whether a fact is about a limit. */
+/** Returns whether a fact is about a rate limit. */
 export function isFact (content: unknown): content is unknown[] {
-  return Array.isArray(content) && content[0] === LIMIT
+  return Array.isArray(content) && content[0] === LIMIT_CODE
 }
 
 /**
- * Parses a fact about a limit.
+ * Decodes a fact about a rate limit.
  *
  * @param content - The fact.
- * @param madeAt - Monotonic time in milliseconds at which it was made.
- * @returns The limit, or null for one that can't be right.
+ * @param madeAt - Monotonic time in milliseconds at which the fact was created.
+ * @returns The limit, or null if the fact is malformed.
  */
 export function parseFact ([, life, perSecond]: readonly unknown[], madeAt: number): rateLimits.RateLimit | null {
   if (!types.isLife(life)) return null
   if (typeof perSecond !== 'number' || !Number.isFinite(perSecond) || perSecond < 0) return null
-  return { life, perSecond: perSecond === ENDED ? null : perSecond, heardAt: madeAt }
+  return { life, perSecond: perSecond === ENDED_RATE ? null : perSecond, heardAt: madeAt }
 }
--- a/packages/daemon/src/_lib/runFleetRole.ts
+++ b/packages/daemon/src/_lib/runFleetRole.ts
@@ -1,4 +1,4 @@
-/** Runs a gateway or an agent as a process: signals, changed settings, and the end. */
+/** Process lifecycle of a gateway or an agent: signals, settings changes and shutdown. */
 import * as fs from 'node:fs'
 import * as settings from '@switchridge/settings'
 import * as types from '@switchridge/types'
@@ -6,17 +6,17 @@
 import * as startGatewayRole from '../startGatewayRole/index.js'
 import type * as fleetRole from './fleetRole.js'
 
-/** Milliseconds between two looks at the settings file, which may change without a signal. */
-const SETTINGS_POLL_MS = 4000
+/** Interval at which the settings file is checked, since it may change without a signal. */
+const SETTINGS_POLL_INTERVAL_MS = 4000
 const EXIT_FORCED = 4
 
 /**
- * Runs the role until the process is told to end.
+ * Starts the role in the settings and installs the signal handlers that reload the settings or end the process.
  *
  * @param checked - The settings.
- * @param file - Where they were read.
+ * @param file - Path of the file that they were read from.
  */
-export async function runFleet (checked: settings.FleetSettings, file: string): Promise<void> {
+export async function runFleetRole (checked: settings.FleetSettings, file: string): Promise<void> {
   const role = checked.role === 'gateway'
     ? await startGatewayRole.startGatewayRole(checked)
     : await startAgentRole.startAgentRole(checked)
@@ -35,7 +35,7 @@
   async function stop (): Promise<void> {
     if (isStopping) process.exit(EXIT_FORCED)
     isStopping = true
-    await drainSafely(role)
+    await drainAndLogErrors(role)
     role.stop()
     process.exit(0)
   }
@@ -43,7 +43,7 @@
   process.on('SIGHUP', reload)
   process.on('SIGTERM', () => { void stop() })
   process.on('SIGINT', () => { void stop() })
-  setInterval(reload, SETTINGS_POLL_MS).unref()
+  setInterval(reload, SETTINGS_POLL_INTERVAL_MS).unref()
 }
 
 function readText (file: string): string | null {
@@ -54,7 +54,7 @@
   }
 }
 
-async function drainSafely (role: fleetRole.FleetRole): Promise<void> {
+async function drainAndLogErrors (role: fleetRole.FleetRole): Promise<void> {
   try {
     await role.drain()
   } catch (thrown) {
--- a/packages/daemon/src/_lib/schemas.ts
+++ b/packages/daemon/src/_lib/schemas.ts
@@ -1,7 +1,7 @@
 /** Schemas of the messages between daemons. */
 import * as zod from 'zod'
 
-const MAXIMUM_LIST = 10_000
+const MAXIMUM_LIST_LENGTH = 10_000
 
 const digest = zod.string().regex(/^[0-9a-f]{64}$/)
 const name = zod.string().min(1).max(256)
@@ -17,8 +17,8 @@
   state: zod.enum(['live', 'leaving']),
   service: name.nullable(),
   memoryBytes: zod.number().min(0),
-  serving: zod.array(zod.object({ row: name, version: zod.string(), manifest: digest })).max(MAXIMUM_LIST),
-  holding: zod.array(digest).max(MAXIMUM_LIST),
+  serving: zod.array(zod.object({ row: name, version: zod.string(), manifest: digest })).max(MAXIMUM_LIST_LENGTH),
+  holding: zod.array(digest).max(MAXIMUM_LIST_LENGTH),
   waitingFor: zod.string().max(4096),
   revision: zod.int().min(0)
 })
@@ -28,7 +28,7 @@
 export const heartbeatSchema = zod.object({
   facts: factsSchema,
   load: loadSchema.nullable(),
-  /** Life of the receiver to which `since` refers. */
+  /** Incarnation of the receiver that `since` refers to. */
   incarnation: zod.string().max(256),
   since: zod.int().min(0)
 })
@@ -36,12 +36,12 @@
 export const heartbeatAnswerSchema = zod.object({
   facts: factsSchema,
   counter: zod.int().min(0),
-  claims: zod.array(zod.object({ facts: factsSchema, condition: zod.enum(['live', 'silent', 'gone']), leaving: zod.boolean() })).max(MAXIMUM_LIST)
+  claims: zod.array(zod.object({ facts: factsSchema, condition: zod.enum(['live', 'silent', 'gone']), leaving: zod.boolean() })).max(MAXIMUM_LIST_LENGTH)
 })
 
 export const announceSchema = zod.object({ digest, node: name, have: zod.string().max(65_536) })
 export const providerSchema = zod.object({ digest, chunk: zod.int().min(0), successor: name.nullable() })
 export const ticketSchema = zod.object({ ticket: name, incarnation: name })
 export const hintSchema = zod.object({ node: name, load: loadSchema })
-export const drillSchema = zod.object({ endpoints: zod.array(name).max(MAXIMUM_LIST) })
+export const drillSchema = zod.object({ endpoints: zod.array(name).max(MAXIMUM_LIST_LENGTH) })
 export const factsMessageSchema = zod.object({ node: name, text: zod.string().max(65_536) })
--- a/packages/daemon/src/_lib/sendStream.ts
+++ b/packages/daemon/src/_lib/sendStream.ts
@@ -1,8 +1,8 @@
-/** Passes a streamed answer on with backpressure; a break on either side breaks the other. */
+/** Forwards a streamed response with backpressure. An error or abort on either side ends the other. */
 import * as stream from 'node:stream'
 import type * as Koa from 'koa'
 
-/** Sends `source` as the body; resolves with whether all of it was passed on. */
+/** Sends `source` as the response body. Resolves with whether it was forwarded completely. */
 export async function sendStream (context: Koa.Context, source: stream.Readable): Promise<boolean> {
   context.respond = false
   context.res.statusCode = context.status
--- a/packages/daemon/src/_lib/simulatedFleet.ts
+++ b/packages/daemon/src/_lib/simulatedFleet.ts
@@ -1,4 +1,4 @@
-/** A fleet of hundreds of daemons in one test: the real exchange of each, on a network with narrow links and a store in memory. */
+/** Simulates a fleet of hundreds of daemons in one test: each runs the real exchange, on a network with limited bandwidth and an in-memory store. */
 import * as assert from 'node:assert/strict'
 import * as crypto from 'node:crypto'
 import * as zlib from 'node:zlib'
@@ -17,110 +17,111 @@
 import * as createAgentPermits from './createAgentPermits.js'
 import * as engineNews from './engineNews.js'
 
-/** Size and links of the fleet. */
+/** Size of the fleet and properties of its network. */
 export interface SimulatedFleetOptions {
   readonly halls: number
   readonly gatewaysPerHall: number
   readonly agentsPerHall: number
-  /** Bytes a millisecond between two regions that other traffic leaves. */
+  /** Bandwidth between two regions that other traffic leaves free, in bytes per millisecond. */
   readonly regionBytesPerMs: number
-  /** Part of all datagrams that is lost; none if absent. */
+  /** Fraction of datagrams that is lost, from 0 to 1; 0 if absent. */
   readonly lostPart?: number
-  /** Whether machines tell the time since their start; true if absent. */
+  /** Whether the time since boot is available on the machines; true if absent. */
   readonly isStartKnown?: boolean
 }
 
-/** One daemon of the fleet. */
+/** A daemon of the simulated fleet. */
 export interface SimulatedDaemon {
   readonly host: string
   readonly role: 'gateway' | 'agent'
   readonly parts: () => createFleetParts.FleetParts
-  /** Keeps the rates that back ends name; null at an agent. */
+  /** The rate limiter of a gateway; null at an agent. */
   readonly limiter: () => createRateLimiter.GatewayRateLimiter | null
-  /** When it heard each fact, or told it itself. */
+  /** Time at which the daemon received or published each fact. */
   readonly heard: ReadonlyMap<unknown, number>
   readonly tell: (fact: string) => void
   readonly start: () => Promise<void>
   readonly stop: () => void
-  /** Suspends the machine: nothing arrives or leaves, and its steady clock stands still, until it is resumed. */
+  /** Suspends the machine: until it is resumed, it sends and receives nothing and its steady clock stands still. */
   readonly suspend: () => void
   readonly resume: () => void
-  /** Sets its time of day forward or back by milliseconds. */
+  /** Moves the time of day of the machine forwards or backwards by milliseconds. */
   readonly setTimeOfDay: (milliseconds: number) => void
 }
 
-/** The fleet. */
+/** A simulated fleet. */
 export interface SimulatedFleet {
   readonly network: standins.LinkNetwork
   readonly daemons: readonly SimulatedDaemon[]
   readonly gateways: readonly SimulatedDaemon[]
-  /** Writes an object as the operator or an engine does; returns the store's revision. */
+  /** Writes an object to the store, as an operator or an engine does; returns the new revision of the store. */
   readonly put: (kind: string, name: string, value: unknown) => number
   readonly remove: (kind: string, name: string) => void
-  /** Writes a configuration with so many routes beyond the few of every one; returns its version. */
+  /** Writes a configuration with `routes` routes in addition to the basic ones; returns its version. */
   readonly configure: (routes: number) => number
-  /** Lets time pass in steps that all daemons see. */
+  /** Advances the time for all daemons in steps of a millisecond. */
   readonly pass: (milliseconds: number) => Promise<void>
-  /** Lets time pass until the condition holds; returns the milliseconds, or Infinity when it never did. */
+  /** Advances the time until the condition holds; returns the elapsed milliseconds, or Infinity if it did not hold within the maximum. */
   readonly passUntil: (condition: () => boolean, maximumMs: number) => Promise<number>
 }
 
-interface Machine extends clock.MachineClocks {
+interface MachineClock extends clock.MachineClocks {
   readonly suspend: () => void
   readonly resume: () => void
   readonly set: (milliseconds: number) => void
 }
 
-/** A machine that may be suspended: its steady clock leaves that time out, its other ones do not, if the time since its start is told at all. */
-function createMachine (now: () => number, isStartKnown: boolean): Machine {
+/** Clocks of a machine that can be suspended. The steady clock excludes the suspended time; the time of day and the time since boot include it. The time since boot is always 0 if it is not available. */
+function createMachineClock (now: () => number, isStartKnown: boolean): MachineClock {
   let suspendedAt: number | null = null
-  let lostMs = 0
-  let setMs = 0
+  let suspendedMs = 0
+  let adjustedMs = 0
   const trueTime = (): number => suspendedAt ?? now()
   return {
-    timeOfDay: () => trueTime() + setMs,
+    timeOfDay: () => trueTime() + adjustedMs,
     sinceStart: () => isStartKnown ? trueTime() : 0,
-    steady: () => trueTime() - lostMs,
-    set: (milliseconds) => { setMs += milliseconds },
+    steady: () => trueTime() - suspendedMs,
+    set: (milliseconds) => { adjustedMs += milliseconds },
     suspend: () => { suspendedAt = now() },
     resume: () => {
-      lostMs += suspendedAt === null ? 0 : now() - suspendedAt
+      suspendedMs += suspendedAt === null ? 0 : now() - suspendedAt
       suspendedAt = null
     }
   }
 }
 
 /**
- * Bytes of answers as daemons compress them; formed at once, since the runtime would do it beside the paused clock. Equal parts
- * hold the same values, as the store gave them, so that a size is formed once for a whole fleet.
+ * Creates a function that returns the compressed size of an answer in bytes. It compresses synchronously, since asynchronous compression
+ * would complete independently of the mocked timers. Copies of the same part hold the same value objects from the store, so the size of an
+ * answer is computed once for the whole fleet.
  */
-function createSizes (): (told: store.CopyChanges, part: copyParts.CopyPart) => number {
-  const values = new WeakMap<object, number>()
+function createSizeCache (): (changes: store.CopyChanges, part: copyParts.CopyPart) => number {
+  const valueIds = new WeakMap<object, number>()
   const sizes = new Map<string, number>()
   let count = 0
 
-  function identify (value: unknown): number | string {
+  function identifyValue (value: unknown): number | string {
     if (typeof value !== 'object' || value === null) return JSON.stringify(value) ?? ''
-    const known = values.get(value)
-    if (known !== undefined) return known
+    const knownId = valueIds.get(value)
+    if (knownId !== undefined) return knownId
     count += 1
-    values.set(value, count)
+    valueIds.set(value, count)
     return count
   }
 
-  return (told, part) => {
-    const contents = told.objects.map(({ name, revision, value }) => [name, revision, identify(value)])
-    const key = JSON.stringify([told.kind, told.since, told.gone, contents, part])
-    const known = sizes.get(key)
-    if (known !== undefined) return known
-    const size = zlib.gzipSync(JSON.stringify({ ...told, part, objects: copyParts.takePart(told.objects, part) })).length
+  return (changes, part) => {
+    const contents = changes.objects.map(({ name, revision, value }) => [name, revision, identifyValue(value)])
+    const key = JSON.stringify([changes.kind, changes.since, changes.gone, contents, part])
+    const knownSize = sizes.get(key)
+    if (knownSize !== undefined) return knownSize
+    const size = zlib.gzipSync(JSON.stringify({ ...changes, part, objects: copyParts.takePart(changes.objects, part) })).length
     sizes.set(key, size)
     return size
   }
 }
 
-/** Text that hardly compresses, the same one for the same seed. */
-function createNoise (seed: string, length: number): string {
+/** Creates text that hardly compresses, deterministic for a seed. */
+function createIncompressibleText (seed: string, length: number): string {
   let text = ''
   for (let block = 0; text.length < length; block += 1) text += crypto.createHash('sha256').update(`${seed} ${block}`).digest('base64')
   return text.slice(0, length)
@@ -135,60 +136,60 @@
 const STORE_BYTES_PER_MS = 125_000
 const GATEWAY_BYTES_PER_MS = 3500
 const AGENT_BYTES_PER_MS = 640
-const NEAR_MS = 1.4
-const FAR_MS = 2.8
+const SAME_REGION_LATENCY_MS = 1.4
+const CROSS_REGION_LATENCY_MS = 2.8
 const REQUEST_BYTES = 400
-const STORE_ANSWER_MS = 4
-/** How long daemons wait for an answer of the store, and of each other: as the product's own time-outs. */
+const STORE_RESPONSE_MS = 4
+/** Idle timeouts for answers of the store and of other daemons, the same as in production. */
 const STORE_LIMITS: standins.StreamLimits = { quietMs: 1200 }
 const PEER_LIMITS: standins.StreamLimits = { quietMs: 1000 }
-const SEEDS = 3
-const FACT_KEPT_MS = 600_000
-/** Extra routes are this much longer in the store, as those of the users. */
-const ROUTE_PADDING = 120
+const SEED_COUNT = 3
+const FACT_LIFETIME_MS = 600_000
+/** Length of the text added to each additional route, so that it is as long as routes of users. */
+const ROUTE_PADDING_LENGTH = 120
 
-/** The part of the runtime's mocked timers that moves time. */
-export interface MockedTime {
+/** The part of `node:test` mock timers that advances the time. */
+export interface MockTimers {
   readonly tick: (milliseconds: number) => void
 }
 
 /**
- * Prepares a fleet; its daemons are started by the test.
+ * Creates a simulated fleet. Its daemons are started by the test.
  *
- * @param options - Size and links.
- * @param time - The test's mocked timers, `setTimeout`, `setInterval` and `Date` enabled.
- * @param random - Random number from 0 to 1.
+ * @param options - Size of the fleet and properties of its network.
+ * @param timers - Mock timers of the test, with `setTimeout`, `setInterval` and `Date` enabled.
+ * @param random - Returns a random number from 0 to 1.
  * @returns The fleet.
  */
-export function createSimulatedFleet (options: SimulatedFleetOptions, time: MockedTime, random: () => number): SimulatedFleet {
+export function createSimulatedFleet (options: SimulatedFleetOptions, timers: MockTimers, random: () => number): SimulatedFleet {
   const now = Date.now
   const plan = listHosts(options)
   const network = standins.createLinkNetwork({
     hosts: [{ host: STORE_HOST, region: 'region-0', bytesPerMs: STORE_BYTES_PER_MS }, ...plan.map(({ host, hall, role }) => ({ host, region: `region-${hall}`, bytesPerMs: role === 'gateway' ? GATEWAY_BYTES_PER_MS : AGENT_BYTES_PER_MS }))],
     regionBytesPerMs: options.regionBytesPerMs,
-    nearMs: NEAR_MS,
-    farMs: FAR_MS,
+    nearMs: SAME_REGION_LATENCY_MS,
+    farMs: CROSS_REGION_LATENCY_MS,
     now
   })
   const objects = new Map<string, Map<string, store.StoredObject>>()
   const history: StoreChange[] = []
   let revision = 0
-  let wake: Array<() => void> = []
+  let wakeWatchers: Array<() => void> = []
   let version = 0
-  const sizeOf = createSizes()
+  const sizeOf = createSizeCache()
 
   function record (kind: string, event: store.StoreEvent): void {
     history.push({ kind, event })
-    const waiting = wake
-    wake = []
-    for (const each of waiting) each()
+    const wakeNow = wakeWatchers
+    wakeWatchers = []
+    for (const each of wakeNow) each()
   }
 
   function put (kind: string, name: string, value: unknown): number {
     revision += 1
     const object = { name, revision, value }
-    const named = objects.get(kind) ?? new Map<string, store.StoredObject>()
-    objects.set(kind, named.set(name, object))
+    const objectsOfKind = objects.get(kind) ?? new Map<string, store.StoredObject>()
+    objects.set(kind, objectsOfKind.set(name, object))
     record(kind, { object, isGone: false })
     return revision
   }
@@ -199,11 +200,11 @@
     record(kind, { object: { name, revision, value: null }, isGone: true })
   }
 
-  function createStoreOf (host: string): store.CollectionStore {
+  function createStoreClient (host: string): store.CollectionStore {
     async function answer<Value> (value: Value): Promise<types.Outcome<Value, types.UnavailableError>> {
-      await types.delay(STORE_ANSWER_MS)
-      const isWhole = await network.carry(STORE_HOST, host, JSON.stringify(value).length, STORE_LIMITS)
-      return isWhole ? types.succeed(value) : types.fail(new types.UnavailableError('no whole answer in time'))
+      await types.delay(STORE_RESPONSE_MS)
+      const isDelivered = await network.carry(STORE_HOST, host, JSON.stringify(value).length, STORE_LIMITS)
+      return isDelivered ? types.succeed(value) : types.fail(new types.UnavailableError('the answer was not complete in time'))
     }
     return {
       listAll: async (kind) => {
@@ -215,12 +216,12 @@
         const endsAt = now() + waitMs
         const list = (): store.StoreEvent[] => history.filter((change) => change.kind === kind && change.event.object.revision > from).map(({ event }) => event)
         while (list().length === 0 && now() < endsAt) {
-          await Promise.race([types.delay(endsAt - now()), new Promise<void>((resolve) => { wake.push(resolve) })])
+          await Promise.race([types.delay(endsAt - now()), new Promise<void>((resolve) => { wakeWatchers.push(resolve) })])
         }
         return await answer({ events: list(), at: revision })
       },
-      put: async () => types.fail(new types.UnavailableError('this store is only read')),
-      remove: async () => types.fail(new types.UnavailableError('this store is only read'))
+      put: async () => types.fail(new types.UnavailableError('the simulated store is read-only')),
+      remove: async () => types.fail(new types.UnavailableError('the simulated store is read-only'))
     }
   }
 
@@ -228,22 +229,22 @@
     let parts: createFleetParts.FleetParts | null = null
     let exchange: createFleetExchange.FleetExchange | null = null
     let limiter: createRateLimiter.GatewayRateLimiter | null = null
-    const heard = new Map<unknown, number>()
-    const machine = createMachine(now, options.isStartKnown ?? true)
-    const checked = parseSettings(host, hall, role, plan)
+    const factTimes = new Map<unknown, number>()
+    const machine = createMachineClock(now, options.isStartKnown ?? true)
+    const nodeSettings = parseSettings(host, hall, role, plan)
 
     async function fetchChanges (peer: string, request: spread.CopyRequest, signal: AbortSignal): ReturnType<spread.CopySyncOptions['fetchChanges']> {
       const limits = { ...PEER_LIMITS, signal }
       if (!await network.carry(host, peer, REQUEST_BYTES, limits)) return types.fail(new types.UnavailableError('the peer was not reached in time'))
       const other = daemons.find((each) => each.host === peer)
       const mirror = other?.parts()?.mirrors.find((each) => each.kind === request.kind)
-      if (other === undefined || mirror === undefined) return types.fail(new types.UnavailableError('no such copy'))
+      if (other === undefined || mirror === undefined) return types.fail(new types.UnavailableError('the peer has no copy of this kind'))
       const part = copyParts.partOf(request.kind, role)
       const changes = mirror.changesSince(request.since)
       const bytes = sizeOf(changes, part)
-      const isWhole = await network.carry(peer, host, bytes, limits)
-      const told = { ...changes, objects: copyParts.takePart(changes.objects, part) }
-      return isWhole ? types.succeed({ changes: told, bytes }) : types.fail(new types.UnavailableError('no byte of the answer in time'))
+      const isDelivered = await network.carry(peer, host, bytes, limits)
+      const partialChanges = { ...changes, objects: copyParts.takePart(changes.objects, part) }
+      return isDelivered ? types.succeed({ changes: partialChanges, bytes }) : types.fail(new types.UnavailableError('no byte of the answer arrived in time'))
     }
 
     return {
@@ -251,26 +252,26 @@
       role,
       parts: () => parts as createFleetParts.FleetParts,
       limiter: () => limiter,
-      heard,
+      heard: factTimes,
       tell: (content) => {
-        heard.set(content, now())
-        exchange?.facts.tell(content, FACT_KEPT_MS)
+        factTimes.set(content, now())
+        exchange?.facts.tell(content, FACT_LIFETIME_MS)
       },
       start: async () => {
-        heard.clear()
-        const started = createFleetParts.createFleetParts(checked, { clocks: machine, writeLine: () => {} })
+        factTimes.clear()
+        const started = createFleetParts.createFleetParts(nodeSettings, { clocks: machine, writeLine: () => {} })
         parts = started
         exchange = null
-        const describeSelf = (isStoreLost: boolean): spread.Heartbeat => createFleetParts.describeSelf(started, { isLeaving: false, isStoreLost }, role === 'agent' ? ENGINE_NEWS : null)
+        const describeSelf = (isStoreLost: boolean): spread.Heartbeat => createFleetParts.describeSelf(started, { isLeaving: false, isStoreLost }, role === 'agent' ? ENGINE_STATUS : null)
         if (role === 'gateway') limiter = createRateLimiter.createRateLimiter({ parts: started, exchange: () => exchange, isLeaving: () => false, random })
         exchange = await createFleetExchange.createFleetExchange({
           parts: started,
-          store: role === 'gateway' ? createStoreOf(host) : null,
+          store: role === 'gateway' ? createStoreClient(host) : null,
           openDatagrams: async (onDatagram) => network.openDatagrams(host, (bytes, from) => { if (random() >= (options.lostPart ?? 0)) onDatagram(bytes, from) }),
           fetchChanges,
           describeSelf,
           onHeartbeat: (heartbeat) => { createFleetParts.noteVersions(started, heartbeat) },
-          onFact: (content, madeAt) => { if (limiter?.noteFact(content, madeAt) !== true) heard.set(content, now()) },
+          onFact: (content, madeAt) => { if (limiter?.noteFact(content, madeAt) !== true) factTimes.set(content, now()) },
           onDatagram: limiter?.receive ?? createAgentPermits.createAgentPermits(started, () => exchange).receive,
           random
         })
@@ -290,9 +291,9 @@
 
   const daemons = plan.map(createDaemon)
 
-  async function pass (milliseconds: number): Promise<void> {
-    for (let passed = 0; passed < milliseconds; passed += 1) {
-      time.tick(1)
+  async function advance (milliseconds: number): Promise<void> {
+    for (let elapsed = 0; elapsed < milliseconds; elapsed += 1) {
+      timers.tick(1)
       await new Promise((resolve) => { setImmediate(resolve) })
     }
   }
@@ -303,19 +304,19 @@
     gateways: daemons.filter((each) => each.role === 'gateway'),
     put,
     remove,
-    pass,
+    pass: advance,
     configure: (routes) => {
       version += 1
       const configuration = testing.createConfiguration('10.0.0.9:80', 96, 'model-a', 'key-of-tenant-one')
       const [first] = configuration.routes
-      for (let route = 0; route < routes; route += 1) configuration.routes.push({ ...first, name: `r-${route}`, pathPrefix: `/added/${route}/`, note: createNoise(`${version} ${route}`, ROUTE_PADDING) })
+      for (let route = 0; route < routes; route += 1) configuration.routes.push({ ...first, name: `r-${route}`, pathPrefix: `/added/${route}/`, note: createIncompressibleText(`${version} ${route}`, ROUTE_PADDING_LENGTH) })
       put(platform.KINDS.configuration, platform.CONFIGURATION_NAME, { ...configuration, version })
       return version
     },
     passUntil: async (condition, maximumMs) => {
-      for (let passed = 0; passed <= maximumMs; passed += 1) {
-        if (condition()) return passed
-        await pass(1)
+      for (let elapsed = 0; elapsed <= maximumMs; elapsed += 1) {
+        if (condition()) return elapsed
+        await advance(1)
       }
       return Infinity
     }
@@ -331,14 +332,14 @@
 function listHosts (options: SimulatedFleetOptions): PlannedHost[] {
   const hosts: PlannedHost[] = []
   for (let hall = 0; hall < options.halls; hall += 1) {
-    for (let place = 0; place < options.gatewaysPerHall; place += 1) hosts.push({ host: `10.${hall}.0.${place + 1}`, hall, role: 'gateway' })
-    for (let place = 0; place < options.agentsPerHall; place += 1) hosts.push({ host: `10.${hall}.1.${place + 1}`, hall, role: 'agent' })
+    for (let index = 0; index < options.gatewaysPerHall; index += 1) hosts.push({ host: `10.${hall}.0.${index + 1}`, hall, role: 'gateway' })
+    for (let index = 0; index < options.agentsPerHall; index += 1) hosts.push({ host: `10.${hall}.1.${index + 1}`, hall, role: 'agent' })
   }
   return hosts
 }
 
-/** What an agent under load tells of its engine. */
-const ENGINE_NEWS = engineNews.formatEngineNews({
+/** Engine status that an agent under load sends. */
+const ENGINE_STATUS = engineNews.formatEngineNews({
   address: '10.0.1.1:8585',
   isPaused: false,
   changesInMs: null,
@@ -346,7 +347,7 @@
 }, { host: '10.0.1.1', soleModel: () => 'model-a' })
 
 function parseSettings (host: string, hall: number, role: 'gateway' | 'agent', plan: readonly PlannedHost[]): settings.FleetSettings {
-  const seeds = plan.filter((each) => each.role === 'gateway' && each.host.endsWith('.1')).slice(0, SEEDS).map((each) => `"${each.host}:1"`)
+  const seeds = plan.filter((each) => each.role === 'gateway' && each.host.endsWith('.1')).slice(0, SEED_COUNT).map((each) => `"${each.host}:1"`)
   const text = [
     `role = "${role}"`, `node = "${role}-${host}"`, `zone = "hall-${hall}"`, `region = "region-${hall}"`, `host = "${host}"`, 'internal_port = 7700', `seeds = [${seeds.join()}]`,
     '[listen]', `callers = "${host}:80"`, '[engine]', `address = "${host}:8585"`, '[store]', 'address = "10.9.9.9:80"', '[logs]', 'level = "silent"'
--- a/packages/daemon/src/_lib/suspendedLease.test.ts
+++ b/packages/daemon/src/_lib/suspendedLease.test.ts
@@ -1,4 +1,4 @@
-/** A lease lapses while its holder's machine is suspended, and the holder must know it before it gives an order. */
+/** Guards against a holder that still trusts a lease which expired while its machine was suspended: it must notice before it sends an order. */
 import * as assert from 'node:assert/strict'
 import * as nodeTest from 'node:test'
 import * as clock from '@switchridge/clock'
@@ -7,19 +7,19 @@
 const DURATION_MS = 10_000
 const OPTIONS = { durationMs: DURATION_MS, marginMs: 2000 }
 
-nodeTest.test('a holder that was suspended for longer than its lease no longer trusts it', async () => {
+nodeTest.test('a holder that was suspended for longer than the lease duration no longer holds the lease', async () => {
   let steady = 0
   let suspendedMs = 0
   const { now } = clock.createSteadyClock({ steady: () => steady, timeOfDay: () => steady + suspendedMs, sinceStart: () => steady + suspendedMs })
-  const pass = (milliseconds: number): void => {
+  const advance = (milliseconds: number): void => {
     steady += milliseconds
     now()
   }
-  pass(2000)
+  advance(2000)
   const objects = store.createMemoryObjectStore()
   const lease = store.createLease(objects, 'engine/cluj-1', 'holder', { ...OPTIONS, now })
   assert.ok((await lease.acquire()).ok)
-  pass(1000)
+  advance(1000)
   assert.equal(lease.currentGeneration(), 1)
   suspendedMs = DURATION_MS
   assert.equal(lease.currentGeneration(), null)
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,4 +1,4 @@
-/** The parts of the daemons, exported for embedding. */
+/** Components of the daemons, for programs that embed them. */
 export * from './createBackendCalls/index.js'
 export * from './createClaims/index.js'
 export * from './createCommonParts/index.js'
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,19 +1,19 @@
 #!/usr/bin/env node
-/** Command-line entry point of the daemon: `switchridged --settings FILE`. */
+/** The daemon: `switchridged --settings FILE`. */
 import * as fs from 'node:fs'
 import * as types from '@switchridge/types'
 import * as settings from '@switchridge/settings'
 import type * as startDaemon from './startDaemon/index.js'
 
-/** Exit codes, as docs/OPERATIONS.md lists them. */
+/** Exit codes, documented in docs/OPERATIONS.md. */
 const EXIT_FAILED = 1
 const EXIT_USAGE = 2
 const EXIT_SETTINGS = 3
 const EXIT_FORCED = 4
-/** Environment variable with the path of the settings file, used when there are no arguments. */
+/** Environment variable with the path of the settings file, used if there are no arguments. */
 const SETTINGS_VARIABLE = 'SWITCHRIDGE_NODE_FILE'
 
-/** Loads the argument parser only if there are arguments; on the users' platform there are none, and startup should read few files. */
+/** Parses the command line. Loads yargs only here: the users' platform starts the daemon without arguments, and loading fewer modules shortens the start. */
 async function parseArguments (): Promise<string> {
   const { default: yargs } = await import('yargs')
   const options = await yargs(process.argv.slice(2))
@@ -32,8 +32,8 @@
 }
 
 async function findSettingsFile (): Promise<string> {
-  const named = process.env[SETTINGS_VARIABLE]
-  return process.argv.length > 2 || named === undefined ? await parseArguments() : named
+  const fileFromEnvironment = process.env[SETTINGS_VARIABLE]
+  return process.argv.length > 2 || fileFromEnvironment === undefined ? await parseArguments() : fileFromEnvironment
 }
 
 function readFile (file: string): string {
@@ -45,8 +45,8 @@
   }
 }
 
-/** Returns the parsed settings; if they are invalid, prints each problem with its location and exits. */
-function unwrap<Value> (parsed: types.Outcome<Value, types.InvalidInputError>, file: string): Value {
+/** Returns the parsed settings, or prints every problem with its place and exits. */
+function unwrapOrExit<Value> (parsed: types.Outcome<Value, types.InvalidInputError>, file: string): Value {
   if (parsed.ok) return parsed.value
   for (const problem of parsed.error.problems) process.stderr.write(`${file}: ${types.formatProblem(problem)}\n`)
   process.exit(EXIT_SETTINGS)
@@ -63,16 +63,16 @@
   process.exit(0)
 }
 
-/** Loads only the modules of the role that runs, so that startup reads few files. */
+/** Starts the role that the settings name. Only the modules of that kind of role are loaded, which shortens the start. */
 async function run (file: string): Promise<void> {
   const text = readFile(file)
   if (settings.isFleetSettings(text)) {
-    const checked = unwrap(settings.parseFleetSettings(text, file), file)
-    const { runFleet } = await import('./_lib/runFleet.js')
-    await runFleet(checked, file)
+    const checked = unwrapOrExit(settings.parseFleetSettings(text, file), file)
+    const { runFleetRole } = await import('./_lib/runFleetRole.js')
+    await runFleetRole(checked, file)
     return
   }
-  const checked = unwrap(settings.parseSettings(text, file), file)
+  const checked = unwrapOrExit(settings.parseSettings(text, file), file)
   const { startDaemon } = await import('./startDaemon/index.js')
   const role = await startDaemon(checked)
   process.on('SIGTERM', () => { void stop(role, checked.limits.drain_seconds) })
--- a/packages/daemon/src/target.test.ts
+++ b/packages/daemon/src/target.test.ts
@@ -19,7 +19,7 @@
   readonly ended: Promise<number | null>
 }
 
-/** Starts the built program with the settings file named by the environment variable, as the platform does. */
+/** Starts the bundled program with the path of its settings file in the environment, as the platform does. */
 function startProgram (context: nodeTest.TestContext, settings: string): StartedProgram {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'switchridge-'))
   const file = path.join(folder, 'settings.toml')
@@ -36,14 +36,14 @@
   return { child, output: () => output, ended }
 }
 
-nodeTest.test('the built program serves in both roles and shuts down gracefully', async (context) => {
+nodeTest.test('the bundled program serves calls as gateway and agent and exits with 0 on SIGTERM', async (context) => {
   const fleet = await fleetTesting.openFleet(context)
   fleet.configure()
   const engine = await fleet.startEngine({ id: 'i-1', model: fleetTesting.MODEL, version: 0, digestsOf: fleet.origin.digestsOf })
   const store = `[store]\naddress = "${testing.formatAddress(fleet.store.address)}"\n`
-  const common = (role: string, host: string): string => `role = "${role}"\nnode = "${role}"\nzone = "z"\nregion = "r"\nhost = "${host}"\nseeds = ["${GATEWAY_HOST}:1"]\ninternal_port = ${fleet.ports.internal}\n`
-  const gateway = startProgram(context, `${common('gateway', GATEWAY_HOST)}[listen]\ncallers = "${GATEWAY_HOST}:${fleet.ports.callers}"\ncontrol = "${GATEWAY_HOST}:${fleet.ports.readiness}"\n${store}[limits]\ngrace_seconds = 4\n`)
-  const agent = startProgram(context, `${common('agent', AGENT_HOST)}[engine]\naddress = "${testing.formatAddress(engine.address)}"\nservice = "llm"\n${store}`)
+  const formatCommonSettings = (role: string, host: string): string => `role = "${role}"\nnode = "${role}"\nzone = "z"\nregion = "r"\nhost = "${host}"\nseeds = ["${GATEWAY_HOST}:1"]\ninternal_port = ${fleet.ports.internal}\n`
+  const gateway = startProgram(context, `${formatCommonSettings('gateway', GATEWAY_HOST)}[listen]\ncallers = "${GATEWAY_HOST}:${fleet.ports.callers}"\ncontrol = "${GATEWAY_HOST}:${fleet.ports.readiness}"\n${store}[limits]\ngrace_seconds = 4\n`)
+  const agent = startProgram(context, `${formatCommonSettings('agent', AGENT_HOST)}[engine]\naddress = "${testing.formatAddress(engine.address)}"\nservice = "llm"\n${store}`)
   const callers = { host: GATEWAY_HOST, port: fleet.ports.callers }
   await fleetTesting.until(() => engine.version() === 1)
   await fleetTesting.untilServed(callers, '/stream/1')
@@ -56,7 +56,7 @@
   assert.match(gateway.output(), /event=call .*ending=answered/)
 })
 
-nodeTest.test('invalid settings end the program with the location of each problem', async (context) => {
+nodeTest.test('invalid settings end the program and print the place of each problem', async (context) => {
   const program = startProgram(context, 'role = "gateway"\nnode = ""\n[bounds]\ndrain = 1\n')
   assert.equal(await program.ended, 3)
   for (const place of ['node', 'zone', 'store', 'bounds.drain']) assert.match(program.output(), new RegExp(`: ${place.replace('.', '\\.')}: got`))
--- a/packages/daemon/src/wireNames.test.ts
+++ b/packages/daemon/src/wireNames.test.ts
@@ -4,7 +4,7 @@
 import * as nodeTest from 'node:test'
 import * as url from 'node:url'
 
-/** Names of the platform's protocol that only the adapter may use. */
+/** Header, path and field names of the platform's protocols, which only the adapter may contain. */
 const WIRE_NAMES = /expect-instance|not-executed|server-limit|engine-seal|deadline-remaining|token-count|length-hint|(?<!x-)prompt-prefix|weight-versions|request-urgency|expect-version|\/v1\/(objects|order|report|piece|manifest|stage|readiness)|routeType|trafficSplit|apiKeys|maxAttempts|busySlots/i
 const ROOT = path.resolve(path.dirname(url.fileURLToPath(import.meta.url)), '../../..')
 
@@ -19,12 +19,12 @@
   return files.reduce((sum, file) => sum + fs.readFileSync(file, 'utf8').split('\n').length, 0)
 }
 
-nodeTest.test('nothing outside the adapter uses the platform\'s protocol names', () => {
+nodeTest.test('no source outside the adapter contains names of the platform\'s protocols', () => {
   const offenders = listSources(path.join(ROOT, 'packages')).filter((file) => WIRE_NAMES.test(fs.readFileSync(file, 'utf8')))
   assert.deepEqual(offenders.map((file) => path.relative(ROOT, file)), [])
 })
 
-nodeTest.test('the adapter is less than a tenth of the code', () => {
+nodeTest.test('the adapter has less than a tenth of the lines of code', () => {
   const adapter = countLines(listSources(path.join(ROOT, 'platform/src')))
   const product = countLines(listSources(path.join(ROOT, 'packages')))
   assert.ok(adapter * 10 < adapter + product, `${adapter} of ${adapter + product} lines`)
