--- a/packages/rate-limits/src/_lib/limitSimulation.ts
+++ b/packages/rate-limits/src/_lib/limitSimulation.ts
@@ -1,4 +1,4 @@
-/** Plays gateways that keep one limit together, with the real decisions, on a network that loses, doubles and delays datagrams. */
+/** Simulates gateways that share one rate limit, with the production code on a simulated network that loses, duplicates and delays datagrams. */
 import * as standins from '@switchridge/standins'
 import * as types from '@switchridge/types'
 import * as chooseCounter from '../chooseCounter/index.js'
@@ -8,93 +8,94 @@
 import * as rateShares from './rateShares.js'
 import type * as rateLimits from '../types/index.js'
 
-/** What is played. */
-export interface LimitPlan {
-  readonly way: 'shares' | 'counter'
+/** The load, fleet and faults to simulate. */
+export interface LimitScenario {
+  readonly strategy: 'shares' | 'counter'
   readonly gateways: number
   readonly perSecond: number
   readonly seconds: number
-  /** Calls that come, in parts of the limit. */
+  /** Rate of arriving calls as a multiple of the limit. */
   readonly demand: number
-  /** Whether a tenth of the gateways gets half of the calls. */
+  /** Whether one tenth of the gateways receives half of the calls. */
   readonly isSkewed?: boolean
-  /** Part of all datagrams that is lost, comes twice, or comes {@link LATE_MS} later. */
-  readonly lostPart?: number
-  readonly doubledPart?: number
-  readonly latePart?: number
-  /** Seconds at which the counter ends; another one counts from {@link REPLACED_MS} later on, knowing nothing. */
-  readonly replacedAt?: readonly number[]
-  /** From and to which second the counter stands still; what comes meanwhile is answered afterwards. */
-  readonly frozen?: readonly [number, number]
-  /** From and to which second half of the gateways ask a substitute, since they have lost the counter. */
-  readonly divided?: readonly [number, number]
-  /** Part of the limit that a substitute gives; that of the product if absent. */
-  readonly substitutePart?: number
-  /** Permits are not used at once, but at the next multiple of these milliseconds: a mistake that a check has to find. */
-  readonly heldMs?: number
-  /** Seconds at which every second gateway starts again. */
-  readonly restartedAt?: readonly number[]
+  /** Fractions of all datagrams that are lost, delivered twice, and delayed by {@link EXTRA_DELAY_MS}. */
+  readonly lossRate?: number
+  readonly duplicationRate?: number
+  readonly delayRate?: number
+  /** Seconds at which the counter fails; {@link REPLACEMENT_DELAY_MS} later a new one without any state takes over. */
+  readonly counterReplacedAt?: readonly number[]
+  /** Start and end, in seconds, of a pause of the first counter; it answers the datagrams received meanwhile when the pause ends. */
+  readonly counterFrozen?: readonly [number, number]
+  /** Start and end, in seconds, of a partition in which half of the gateways can't reach the counter and ask a substitute. */
+  readonly partitioned?: readonly [number, number]
+  /** Fraction of the limit that a substitute grants; the production value if absent. */
+  readonly substituteFraction?: number
+  /** Injects a fault that the checks have to detect: a permit is used only at the next multiple of these milliseconds. */
+  readonly permitHoldMs?: number
+  /** Seconds at which every second gateway restarts. */
+  readonly gatewaysRestartedAt?: readonly number[]
   readonly seed?: number
 }
 
-/** What came of it. */
+/** The measured result. */
 export interface LimitResult {
-  /** Part of the limit that was used. */
-  readonly used: number
-  /** Most requests in some four seconds. */
-  readonly most: number
+  /** Requests sent as a fraction of what the limit allows. */
+  readonly utilization: number
+  /** Most requests within any window of four seconds. */
+  readonly peakRequests: number
+  /** Upper bound for `peakRequests`. */
   readonly allowed: number
-  /** Datagrams for each request that was sent, refusals included. */
-  readonly datagramsEach: number
+  /** Datagrams per request that was sent, including those of refused permits. */
+  readonly datagramsPerRequest: number
 }
 
 const LIFE = types.brandId<types.BackEndLife>('back-end')
 const WINDOW_MS = 4000
 const STEP_MS = 1
-/** Within a hall and between regions. */
-const WAY_MS = [0.5, 3] as const
-const LATE_MS = 400
-const REPLACED_MS = 2000
-const MICROTASKS = 6
+/** Shortest and longest one-way delay: within a data hall and between regions. */
+const NETWORK_DELAY_MS = [0.5, 3] as const
+const EXTRA_DELAY_MS = 400
+const REPLACEMENT_DELAY_MS = 2000
+const MICROTASK_TURNS = 6
 const SEED = 11
 
 interface Gateway {
-  way: rateLimits.PermitWay
+  permitSource: rateLimits.PermitSource
   receive: (bytes: Buffer, from: string) => boolean
 }
 
-/** What four seconds may bring at the most. */
+/** Most requests that a limit tolerates within any window of four seconds: one and a half times the rate, and five. */
 export function computeAllowed (perSecond: number): number {
   return 6 * perSecond + 5
 }
 
 /**
- * Plays a plan.
+ * Simulates a scenario.
  *
- * @param plan - What is played.
- * @returns What came of it.
+ * @param scenario - The load, fleet and faults.
+ * @returns The measured result.
  */
-export async function playLimit (plan: LimitPlan): Promise<LimitResult> {
+export async function simulateLimit (scenario: LimitScenario): Promise<LimitResult> {
   const timeline = standins.createTimeline()
-  const random = standins.createRandom(plan.seed ?? SEED)
+  const random = standins.createRandom(scenario.seed ?? SEED)
   const { now } = timeline
-  const substitutePart = plan.substitutePart ?? chooseCounter.SUBSTITUTE_PART
+  const substituteFraction = scenario.substituteFraction ?? chooseCounter.SUBSTITUTE_FRACTION
   const arrivals: number[] = []
   let datagrams = 0
   const counters = new Map<string, createPermitServer.PermitServer>()
   const gateways: Gateway[] = []
-  let serving = 'counter-0'
-  /** Whether anything was done whose promises are to be kept before time goes on. */
-  let hasActed = false
+  let activeCounter = 'counter-0'
+  /** Whether an action ran whose promises have to settle before the simulated time advances. */
+  let hasPendingPromises = false
 
-  function at (time: number, action: () => void): void {
+  function scheduleAt (time: number, action: () => void): void {
     timeline.at(time, () => {
-      hasActed = true
+      hasPendingPromises = true
       action()
     })
   }
 
-  function isBetween (span: readonly [number, number] | undefined): boolean {
+  function isWithin (span: readonly [number, number] | undefined): boolean {
     const seconds = now() / types.MILLISECONDS_IN_SECOND
     return span !== undefined && seconds >= span[0] && seconds < span[1]
   }
@@ -102,108 +103,108 @@
   function deliver (bytes: Buffer, from: string, to: string): void {
     const [kind, index] = to.split('-')
     if (kind === 'gateway') gateways[Number(index)]?.receive(bytes, from)
-    else if (to === 'counter-0' && isBetween(plan.frozen)) at((plan.frozen?.[1] ?? 0) * types.MILLISECONDS_IN_SECOND, () => { deliver(bytes, from, to) })
+    else if (to === 'counter-0' && isWithin(scenario.counterFrozen)) scheduleAt((scenario.counterFrozen?.[1] ?? 0) * types.MILLISECONDS_IN_SECOND, () => { deliver(bytes, from, to) })
     else counters.get(to)?.receive(bytes, from)
   }
 
-  function sendFrom (from: string): (to: string, bytes: Buffer) => void {
+  function createSender (from: string): (to: string, bytes: Buffer) => void {
     return (to, bytes) => {
       datagrams += 1
-      if (random() < (plan.lostPart ?? 0)) return
-      const copies = random() < (plan.doubledPart ?? 0) ? 2 : 1
+      if (random() < (scenario.lossRate ?? 0)) return
+      const copies = random() < (scenario.duplicationRate ?? 0) ? 2 : 1
       for (let copy = 0; copy < copies; copy += 1) {
-        const delayMs = WAY_MS[0] + (WAY_MS[1] - WAY_MS[0]) * random() + (random() < (plan.latePart ?? 0) ? LATE_MS : 0)
-        at(now() + delayMs, () => { deliver(bytes, from, to) })
+        const delayMs = NETWORK_DELAY_MS[0] + (NETWORK_DELAY_MS[1] - NETWORK_DELAY_MS[0]) * random() + (random() < (scenario.delayRate ?? 0) ? EXTRA_DELAY_MS : 0)
+        scheduleAt(now() + delayMs, () => { deliver(bytes, from, to) })
       }
     }
   }
 
   function startCounter (host: string, part: number): void {
-    counters.set(host, createPermitServer.createPermitServer({ counter: createPermitCounter.createPermitCounter(now), partOf: () => part, send: sendFrom(host), count: () => {}, now }))
+    counters.set(host, createPermitServer.createPermitServer({ counter: createPermitCounter.createPermitCounter(now), partOf: () => part, send: createSender(host), count: () => {}, now }))
   }
 
   function startGateway (index: number): void {
-    if (plan.way === 'shares') {
-      gateways[index] = { way: rateShares.createRateShares(() => plan.gateways, now), receive: () => false }
+    if (scenario.strategy === 'shares') {
+      gateways[index] = { permitSource: rateShares.createRateShares(() => scenario.gateways, now), receive: () => false }
       return
     }
     const host = `gateway-${index}`
-    const isApart = (): boolean => index % 2 === 1 && isBetween(plan.divided)
+    const isPartitioned = (): boolean => index % 2 === 1 && isWithin(scenario.partitioned)
     const client = createPermitClient.createPermitClient({
       ownHost: host,
       counter: createPermitCounter.createPermitCounter(now),
-      findCounter: () => isApart() ? { host: 'substitute', part: substitutePart } : { host: serving, part: 1 },
-      send: sendFrom(host),
+      findCounter: () => isPartitioned() ? { host: 'substitute', part: substituteFraction } : { host: activeCounter, part: 1 },
+      send: createSender(host),
       count: () => {},
-      at: schedule,
+      at: scheduleCancellable,
       now,
       random
     })
-    gateways[index] = { way: client, receive: client.receive }
+    gateways[index] = { permitSource: client, receive: client.receive }
   }
 
-  function schedule (time: number, action: () => void): () => void {
+  function scheduleCancellable (time: number, action: () => void): () => void {
     let isCancelled = false
-    at(time, () => { if (!isCancelled) action() })
+    scheduleAt(time, () => { if (!isCancelled) action() })
     return () => { isCancelled = true }
   }
 
   function pickGateway (): Gateway {
-    const few = Math.max(1, Math.round(plan.gateways / 10))
-    const among = plan.isSkewed === true && random() < 0.5 ? few : plan.gateways
-    return gateways[Math.floor(random() * among)] as Gateway
+    const busyCount = Math.max(1, Math.round(scenario.gateways / 10))
+    const candidateCount = scenario.isSkewed === true && random() < 0.5 ? busyCount : scenario.gateways
+    return gateways[Math.floor(random() * candidateCount)] as Gateway
   }
 
-  async function call ({ way }: Gateway): Promise<void> {
-    if (way.waitMs(LIFE, false) > 0) return
-    const answer = await way.acquire({ life: LIFE, perSecond: plan.perSecond, heardAt: 0 }, false)
-    if (answer.isGranted) at(computeSendTime(), () => { arrivals.push(now()) })
+  async function sendCall ({ permitSource }: Gateway): Promise<void> {
+    if (permitSource.waitMs(LIFE, false) > 0) return
+    const decision = await permitSource.acquire({ life: LIFE, perSecond: scenario.perSecond, heardAt: 0 }, false)
+    if (decision.isGranted) scheduleAt(computeSendTime(), () => { arrivals.push(now()) })
   }
 
   function computeSendTime (): number {
-    return plan.heldMs === undefined ? now() : Math.ceil(now() / plan.heldMs) * plan.heldMs
+    return scenario.permitHoldMs === undefined ? now() : Math.ceil(now() / scenario.permitHoldMs) * scenario.permitHoldMs
   }
 
   function scheduleCall (): void {
-    const gapMs = -Math.log(1 - random()) * types.MILLISECONDS_IN_SECOND / (plan.perSecond * plan.demand)
-    at(now() + gapMs, () => {
-      void call(pickGateway())
+    const gapMs = -Math.log(1 - random()) * types.MILLISECONDS_IN_SECOND / (scenario.perSecond * scenario.demand)
+    scheduleAt(now() + gapMs, () => {
+      void sendCall(pickGateway())
       scheduleCall()
     })
   }
 
-  startCounter(serving, 1)
-  startCounter('substitute', substitutePart)
-  for (let index = 0; index < plan.gateways; index += 1) startGateway(index)
-  for (const [index, second] of (plan.replacedAt ?? []).entries()) {
-    at(second * types.MILLISECONDS_IN_SECOND, () => { counters.delete(serving) })
-    at(second * types.MILLISECONDS_IN_SECOND + REPLACED_MS, () => {
-      serving = `counter-${index + 1}`
-      startCounter(serving, 1)
+  startCounter(activeCounter, 1)
+  startCounter('substitute', substituteFraction)
+  for (let index = 0; index < scenario.gateways; index += 1) startGateway(index)
+  for (const [index, second] of (scenario.counterReplacedAt ?? []).entries()) {
+    scheduleAt(second * types.MILLISECONDS_IN_SECOND, () => { counters.delete(activeCounter) })
+    scheduleAt(second * types.MILLISECONDS_IN_SECOND + REPLACEMENT_DELAY_MS, () => {
+      activeCounter = `counter-${index + 1}`
+      startCounter(activeCounter, 1)
     })
   }
-  for (const second of plan.restartedAt ?? []) at(second * types.MILLISECONDS_IN_SECOND, () => { for (let index = 0; index < plan.gateways; index += 2) startGateway(index) })
+  for (const second of scenario.gatewaysRestartedAt ?? []) scheduleAt(second * types.MILLISECONDS_IN_SECOND, () => { for (let index = 0; index < scenario.gateways; index += 2) startGateway(index) })
   scheduleCall()
-  for (let time = 0; time <= plan.seconds * types.MILLISECONDS_IN_SECOND; time += STEP_MS) {
+  for (let time = 0; time <= scenario.seconds * types.MILLISECONDS_IN_SECOND; time += STEP_MS) {
     timeline.run(time)
-    if (!hasActed) continue
-    hasActed = false
-    for (let turn = 0; turn < MICROTASKS; turn += 1) await Promise.resolve()
+    if (!hasPendingPromises) continue
+    hasPendingPromises = false
+    for (let turn = 0; turn < MICROTASK_TURNS; turn += 1) await Promise.resolve()
   }
   return {
-    used: arrivals.length / (plan.perSecond * plan.seconds),
-    most: countMost(arrivals),
-    allowed: computeAllowed(plan.perSecond),
-    datagramsEach: datagrams / Math.max(1, arrivals.length)
+    utilization: arrivals.length / (scenario.perSecond * scenario.seconds),
+    peakRequests: countPeak(arrivals),
+    allowed: computeAllowed(scenario.perSecond),
+    datagramsPerRequest: datagrams / Math.max(1, arrivals.length)
   }
 }
 
-function countMost (times: readonly number[]): number {
-  let most = 0
+function countPeak (times: readonly number[]): number {
+  let peak = 0
   let first = 0
   for (const [index, time] of times.entries()) {
     while (time - (times[first] as number) >= WINDOW_MS) first += 1
-    most = Math.max(most, index - first + 1)
+    peak = Math.max(peak, index - first + 1)
   }
-  return most
+  return peak
 }
--- a/packages/rate-limits/src/_lib/permitWire.ts
+++ b/packages/rate-limits/src/_lib/permitWire.ts
@@ -1,58 +1,58 @@
-/** Datagrams of permits: arrays in JSON, the kind first. */
+/** Encodes and decodes the datagrams that request and grant permits: JSON arrays whose first element is the kind. */
 import * as types from '@switchridge/types'
 
-/** A gateway asks for a permit. */
-export interface PermitAsk {
-  /** Tells the asks of one gateway apart, also those of its earlier lives. */
-  readonly number: number
+/** A gateway's request for one permit. */
+export interface PermitRequest {
+  /** Distinguishes the requests of one gateway, including those from before its last restart. */
+  readonly requestId: number
   readonly life: types.BackEndLife
-  /** The limit that the gateway knows, and how long ago it was heard. */
+  /** The limit as the gateway knows it, and the milliseconds since it was received from the back end. */
   readonly perSecond: number
   readonly ageMs: number
-  /** Whether the answer of the call can no longer be in time. */
+  /** Whether the answer to the call will miss its target time. */
   readonly isLate: boolean
 }
 
-/** The answer to an ask. */
+/** The counter's reply to a permit request. */
 export interface PermitReply {
-  readonly number: number
-  /** 0 when the permit is granted. */
+  readonly requestId: number
+  /** 0 if the permit is granted; otherwise the milliseconds after which to ask again. */
   readonly waitMs: number
 }
 
-const ASK_PREFIX = '["p",'
+const REQUEST_PREFIX = '["p",'
 const REPLY_PREFIX = '["g",'
 
-/** Whether a datagram is an ask. */
-export function isAsk (bytes: Buffer): boolean {
-  return bytes.toString('latin1', 0, ASK_PREFIX.length) === ASK_PREFIX
+/** Whether a datagram is a permit request. */
+export function isRequest (bytes: Buffer): boolean {
+  return bytes.toString('latin1', 0, REQUEST_PREFIX.length) === REQUEST_PREFIX
 }
 
-/** Whether a datagram is the answer to an ask. */
+/** Whether a datagram is a reply to a permit request. */
 export function isReply (bytes: Buffer): boolean {
   return bytes.toString('latin1', 0, REPLY_PREFIX.length) === REPLY_PREFIX
 }
 
-/** Formats an ask. */
-export function formatAsk ({ number, life, perSecond, ageMs, isLate }: PermitAsk): Buffer {
-  return Buffer.from(`${ASK_PREFIX}${number},${JSON.stringify(life)},${perSecond},${Math.round(ageMs)},${isLate ? 1 : 0}]`)
+/** Formats a permit request. */
+export function formatRequest ({ requestId, life, perSecond, ageMs, isLate }: PermitRequest): Buffer {
+  return Buffer.from(`${REQUEST_PREFIX}${requestId},${JSON.stringify(life)},${perSecond},${Math.round(ageMs)},${isLate ? 1 : 0}]`)
 }
 
-/** Formats the answer; a wait is never rounded to none. */
-export function formatReply ({ number, waitMs }: PermitReply): Buffer {
-  return Buffer.from(`${REPLY_PREFIX}${number},${Math.ceil(waitMs)}]`)
+/** Formats a reply. Waits are rounded up, since 0 would mean that the permit is granted. */
+export function formatReply ({ requestId, waitMs }: PermitReply): Buffer {
+  return Buffer.from(`${REPLY_PREFIX}${requestId},${Math.ceil(waitMs)}]`)
 }
 
-/** Decodes an ask; null for one that can't be read. */
-export function decodeAsk (bytes: Buffer): PermitAsk | null {
-  const [, number, life, perSecond, ageMs, late] = types.parseJsonList(bytes)
-  if (!types.isCount(number) || !types.isLife(life)) return null
+/** Decodes a permit request; returns null if it is malformed. */
+export function decodeRequest (bytes: Buffer): PermitRequest | null {
+  const [, requestId, life, perSecond, ageMs, late] = types.parseJsonList(bytes)
+  if (!types.isCount(requestId) || !types.isLife(life)) return null
   if (!types.isCount(perSecond) || perSecond === 0 || !types.isCount(ageMs)) return null
-  return { number, life, perSecond, ageMs, isLate: late === 1 }
+  return { requestId, life, perSecond, ageMs, isLate: late === 1 }
 }
 
-/** Decodes an answer; null for one that can't be read. */
+/** Decodes a reply; returns null if it is malformed. */
 export function decodeReply (bytes: Buffer): PermitReply | null {
-  const [, number, waitMs] = types.parseJsonList(bytes)
-  return types.isCount(number) && types.isCount(waitMs) ? { number, waitMs } : null
+  const [, requestId, waitMs] = types.parseJsonList(bytes)
+  return types.isCount(requestId) && types.isCount(waitMs) ? { requestId, waitMs } : null
 }
--- a/packages/rate-limits/src/chooseCounter/index.ts
+++ b/packages/rate-limits/src/chooseCounter/index.ts
@@ -1,8 +1,8 @@
-/** Chooses the daemon that counts what may be sent to a back end. */
+/** Chooses the counter of a back end: the daemon that grants all permits for requests to it. */
 import * as membership from '@switchridge/membership'
 import type * as types from '@switchridge/types'
 
-/** A daemon, as another one or itself sees it. */
+/** A daemon that may be chosen, as seen by the choosing daemon. */
 export interface CounterCandidate {
   readonly node: types.NodeId
   readonly host: string
@@ -12,39 +12,39 @@
   readonly isLeaving: boolean
 }
 
-/** The back end that is counted. */
-export interface CountedBackEnd {
+/** The back end whose requests are counted. */
+export interface RateLimitedBackEnd {
   readonly life: types.BackEndLife
   readonly host: string
   readonly zone: string
 }
 
-/** Who counts, and which part of the limit it may give. */
+/** The daemon that counts, and the fraction of the limit that it may grant. */
 export interface ChosenCounter {
   readonly host: string
   readonly part: number
 }
 
 /**
- * A gateway that counts in place of an agent gives this part of the limit: where only some daemons have lost the agent, both count, and together they stay
- * under what a limit tolerates.
+ * Fraction of the limit that a gateway grants when it substitutes for an unreachable agent. If only some daemons have lost the agent, both grant permits, and
+ * together they must stay within the burst that a limit tolerates.
  */
-export const SUBSTITUTE_PART = 0.25
+export const SUBSTITUTE_FRACTION = 0.25
 
 /**
- * Chooses the counter: the agent beside the back end; for one without an agent, or whose agent is silent, the first gateway of its hall by rank, or of all
- * halls where its own has none. Daemons that see the same members choose alike.
+ * Chooses the counter: the agent on the back end's host. If there is none or it is not live, the first gateway of the back end's data hall by rendezvous
+ * hashing, or of all halls if its own has no gateway. Daemons with the same view of the members make the same choice.
  *
  * @param backEnd - The back end.
- * @param candidates - All daemons known, the own one included.
- * @returns The counter; null when nobody may count.
+ * @param candidates - All known daemons, including the caller's own.
+ * @returns The counter; null if no daemon qualifies.
  */
-export function chooseCounter (backEnd: CountedBackEnd, candidates: readonly CounterCandidate[]): ChosenCounter | null {
+export function chooseCounter (backEnd: RateLimitedBackEnd, candidates: readonly CounterCandidate[]): ChosenCounter | null {
   const agent = candidates.find(({ role, host }) => role === 'agent' && host === backEnd.host)
   if (agent?.isLive === true) return { host: agent.host, part: 1 }
   const gateways = candidates.filter(({ role, isLive, isLeaving }) => role === 'gateway' && isLive && !isLeaving)
-  const near = gateways.filter(({ zone }) => zone === backEnd.zone)
-  const [first] = membership.rankByRendezvous(`rate/${backEnd.life}`, near.length > 0 ? near : gateways, ({ node }) => node)
+  const sameHall = gateways.filter(({ zone }) => zone === backEnd.zone)
+  const [first] = membership.rankByRendezvous(`rate/${backEnd.life}`, sameHall.length > 0 ? sameHall : gateways, ({ node }) => node)
   if (first === undefined) return null
-  return { host: first.host, part: agent === undefined ? 1 : SUBSTITUTE_PART }
+  return { host: first.host, part: agent === undefined ? 1 : SUBSTITUTE_FRACTION }
 }
--- a/packages/rate-limits/src/createPermitClient/index.ts
+++ b/packages/rate-limits/src/createPermitClient/index.ts
@@ -1,4 +1,4 @@
-/** Asks the daemon that counts for a back end whether a request may be sent there now. */
+/** Requests permits from the counter of a back end, the daemon that grants all permits for it. */
 import type * as types from '@switchridge/types'
 import * as permitWire from '../_lib/permitWire.js'
 import type * as chooseCounter from '../chooseCounter/index.js'
@@ -8,12 +8,12 @@
 /** Options of {@link createPermitClient}. */
 export interface PermitClientOptions {
   readonly ownHost: string
-  /** Counts for back ends that this daemon counts itself. */
+  /** Grants the permits of back ends whose counter is this daemon. */
   readonly counter: createPermitCounter.PermitCounter
   readonly findCounter: (life: types.BackEndLife) => chooseCounter.ChosenCounter | null
   readonly send: (host: string, bytes: Buffer) => void
   readonly count: (name: string, labels?: Readonly<Record<string, string>>) => void
-  /** Calls an action at a monotonic time in milliseconds; returns what calls it off. */
+  /** Runs an action at a monotonic time in milliseconds; returns a function that cancels it. */
   readonly at: (time: number, action: () => void) => () => void
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
@@ -21,96 +21,99 @@
   readonly random: () => number
 }
 
-/** The client of one gateway. */
-export interface PermitClient extends rateLimits.PermitWay {
-  /** Takes a datagram; false if it is no answer to an ask. */
+/** The permit client of one gateway. */
+export interface PermitClient extends rateLimits.PermitSource {
+  /** Handles a datagram; returns false if it is not a reply to a permit request. */
   readonly receive: (bytes: Buffer, from: string) => boolean
 }
 
-/** Regions answer within a tenth of it, unless a link is full; a call that waits longer is late elsewhere, too. A permit that comes later lapses. */
-const ANSWER_MS = 100
-/** An ask that is not answered by then was lost, or its answer was; the counter gives the same answer to the same ask, so no permit is lost with it. */
-const ASK_AGAIN_MS = 30
-/** A counter that did not answer is asked again after this; nothing is sent meanwhile, since another one may count. */
-const SILENT_WAIT_MS = 500
-/** While one ask is under way, other calls go elsewhere. */
-const UNDER_WAY_WAIT_MS = 10
-const NUMBERS = 2 ** 31
+/**
+ * Time after which a request counts as unanswered; a permit that arrives later expires. Replies between regions take a tenth of it unless a link is saturated,
+ * and a call that waits longer would also be late at another back end.
+ */
+const REPLY_TIMEOUT_MS = 100
+/** Time after which the request or its reply is assumed lost and the request is sent again. The counter repeats its reply to a duplicate, so no permit is wasted. */
+const RETRANSMIT_MS = 30
+/** Wait before asking again if the counter did not reply or there is none. Nothing is sent meanwhile, since another daemon may be granting permits. */
+const NO_REPLY_WAIT_MS = 500
+/** Wait that is reported while a request for the same back end is pending, so that other calls choose another back end. */
+const PENDING_WAIT_MS = 10
+const REQUEST_ID_RANGE = 2 ** 31
 
-interface Ask {
+interface PendingRequest {
   readonly host: string
-  readonly askedAt: number
-  readonly finish: (answer: rateLimits.PermitAnswer) => void
+  readonly requestedAt: number
+  readonly finish: (decision: rateLimits.PermitAnswer) => void
 }
 
 /**
  * Creates the client.
  *
- * @param options - Who counts, ways there, and clocks.
+ * @param options - Counter lookup, transport, metrics and clocks.
  * @returns The client.
  */
 export function createPermitClient (options: PermitClientOptions): PermitClient {
   const { count, now } = options
-  const asks = new Map<number, Ask>()
-  const underWay = new Set<types.BackEndLife>()
-  const waitUntil = new Map<types.BackEndLife, number>()
-  /** For calls that can no longer be in time; their refusal keeps no other call from asking. */
-  const lateWaitUntil = new Map<types.BackEndLife, number>()
-  let number = Math.floor(options.random() * NUMBERS)
+  const pendingRequests = new Map<number, PendingRequest>()
+  const pendingLives = new Set<types.BackEndLife>()
+  const retryTimes = new Map<types.BackEndLife, number>()
+  /** Kept apart for late calls: their refusals must not keep other calls from requesting permits. */
+  const lateRetryTimes = new Map<types.BackEndLife, number>()
+  let lastRequestId = Math.floor(options.random() * REQUEST_ID_RANGE)
 
-  function noteAnswer (life: types.BackEndLife, isLate: boolean, answer: rateLimits.PermitAnswer): rateLimits.PermitAnswer {
-    const waits = isLate ? lateWaitUntil : waitUntil
-    forgetPast(waits)
-    if (!answer.isGranted) waits.set(life, now() + answer.waitMs)
-    return answer
+  function recordDecision (life: types.BackEndLife, isLate: boolean, decision: rateLimits.PermitAnswer): rateLimits.PermitAnswer {
+    const times = isLate ? lateRetryTimes : retryTimes
+    removePastTimes(times)
+    if (!decision.isGranted) times.set(life, now() + decision.waitMs)
+    return decision
   }
 
-  /** A back end whose life has ended is never asked for again. */
-  function forgetPast (waits: Map<types.BackEndLife, number>): void {
-    for (const [life, until] of waits) if (until <= now()) waits.delete(life)
+  /** Removes past entries, since no further request would remove those of back ends that no longer run. */
+  function removePastTimes (times: Map<types.BackEndLife, number>): void {
+    for (const [life, retryAt] of times) if (retryAt <= now()) times.delete(life)
   }
 
-  async function ask (host: string, limit: rateLimits.RateLimit & { readonly perSecond: number }, isLate: boolean): Promise<rateLimits.PermitAnswer> {
-    number += 1
-    const own = number
-    const sendAsk = (): void => { options.send(host, permitWire.formatAsk({ number: own, life: limit.life, perSecond: limit.perSecond, ageMs: now() - limit.heardAt, isLate })) }
+  async function requestPermit (host: string, limit: rateLimits.RateLimit & { readonly perSecond: number }, isLate: boolean): Promise<rateLimits.PermitAnswer> {
+    lastRequestId += 1
+    const requestId = lastRequestId
+    const sendRequest = (): void => { options.send(host, permitWire.formatRequest({ requestId, life: limit.life, perSecond: limit.perSecond, ageMs: now() - limit.heardAt, isLate })) }
     return await new Promise((resolve) => {
-      const cancelAgain = options.at(now() + ASK_AGAIN_MS, sendAsk)
-      const cancel = options.at(now() + ANSWER_MS, () => {
-        asks.delete(own)
+      const cancelRetransmit = options.at(now() + RETRANSMIT_MS, sendRequest)
+      const cancelTimeout = options.at(now() + REPLY_TIMEOUT_MS, () => {
+        pendingRequests.delete(requestId)
         count('permits_asked', { answer: 'none' })
-        resolve({ isGranted: false, waitMs: SILENT_WAIT_MS })
+        resolve({ isGranted: false, waitMs: NO_REPLY_WAIT_MS })
       })
-      asks.set(own, {
+      pendingRequests.set(requestId, {
         host,
-        askedAt: now(),
-        finish: (answer) => {
-          cancel()
-          cancelAgain()
-          asks.delete(own)
-          count('permits_asked', { answer: answer.isGranted ? 'granted' : 'refused' })
-          resolve(answer)
+        requestedAt: now(),
+        finish: (decision) => {
+          cancelTimeout()
+          cancelRetransmit()
+          pendingRequests.delete(requestId)
+          count('permits_asked', { answer: decision.isGranted ? 'granted' : 'refused' })
+          resolve(decision)
         }
       })
-      sendAsk()
+      sendRequest()
     })
   }
 
   return {
     waitMs: (life, isLate) => {
-      if (underWay.has(life)) return UNDER_WAY_WAIT_MS
-      return Math.max(0, (waitUntil.get(life) ?? 0) - now(), isLate ? (lateWaitUntil.get(life) ?? 0) - now() : 0)
+      if (pendingLives.has(life)) return PENDING_WAIT_MS
+      return Math.max(0, (retryTimes.get(life) ?? 0) - now(), isLate ? (lateRetryTimes.get(life) ?? 0) - now() : 0)
     },
     acquire: async (limit, isLate) => {
       const { life, perSecond, heardAt } = limit
       if (perSecond === null) return { isGranted: true }
       const counter = options.findCounter(life)
-      if (counter === null) return noteAnswer(life, isLate, { isGranted: false, waitMs: SILENT_WAIT_MS })
-      if (counter.host === options.ownHost) return noteAnswer(life, isLate, options.counter.take({ life, perSecond, heardAt }, counter.part, isLate))
-      underWay.add(life)
-      const answer = await ask(counter.host, { life, perSecond, heardAt }, isLate)
-      underWay.delete(life)
-      return noteAnswer(life, isLate, answer)
+      if (counter === null) return recordDecision(life, isLate, { isGranted: false, waitMs: NO_REPLY_WAIT_MS })
+      if (counter.host === options.ownHost) return recordDecision(life, isLate, options.counter.take({ life, perSecond, heardAt }, counter.part, isLate))
+      pendingLives.add(life)
+      const decision = await requestPermit(counter.host, { life, perSecond, heardAt }, isLate)
+      pendingLives.delete(life)
+      return recordDecision(life, isLate, decision)
     },
     receive: (bytes, from) => {
       if (!permitWire.isReply(bytes)) return false
@@ -119,10 +122,10 @@
         count('datagrams_dropped', { reason: 'bad-permit' })
         return true
       }
-      const known = asks.get(reply.number)
-      // After a suspension the answer may come before the timer does.
-      if (known === undefined || known.host !== from || now() - known.askedAt > ANSWER_MS) count('permits_lapsed')
-      else known.finish(reply.waitMs === 0 ? { isGranted: true } : { isGranted: false, waitMs: reply.waitMs })
+      const pending = pendingRequests.get(reply.requestId)
+      // After a suspension of the process a reply may be handled before the overdue timer.
+      if (pending === undefined || pending.host !== from || now() - pending.requestedAt > REPLY_TIMEOUT_MS) count('permits_lapsed')
+      else pending.finish(reply.waitMs === 0 ? { isGranted: true } : { isGranted: false, waitMs: reply.waitMs })
       return true
     }
   }
--- a/packages/rate-limits/src/createPermitServer/index.ts
+++ b/packages/rate-limits/src/createPermitServer/index.ts
@@ -1,4 +1,4 @@
-/** Answers gateways that ask for permits, by datagrams. */
+/** Answers the datagrams by which gateways request permits. */
 import type * as types from '@switchridge/types'
 import * as permitWire from '../_lib/permitWire.js'
 import type * as createPermitCounter from '../createPermitCounter/index.js'
@@ -6,7 +6,7 @@
 /** Options of {@link createPermitServer}. */
 export interface PermitServerOptions {
   readonly counter: createPermitCounter.PermitCounter
-  /** Part of the limit that this daemon may give; null when another one counts. */
+  /** Fraction of the limit that this daemon may grant; null if another daemon is the counter. */
   readonly partOf: (life: types.BackEndLife) => number | null
   readonly send: (host: string, bytes: Buffer) => void
   readonly count: (name: string, labels?: Readonly<Record<string, string>>) => void
@@ -14,18 +14,18 @@
   readonly now: () => number
 }
 
-/** The server. */
+/** The permit server of one daemon. */
 export interface PermitServer {
-  /** Takes a datagram; false if it is no ask. */
+  /** Handles a datagram; returns false if it is not a permit request. */
   readonly receive: (bytes: Buffer, from: string) => boolean
 }
 
-/** Another daemon counts by this one's view; the asking one sees the same soon. */
-const ELSEWHERE_WAIT_MS = 300
-/** A datagram that comes twice within this takes one permit. */
-const DOUBLED_MS = 1000
+/** Wait that is replied if another daemon is the counter in this one's view; the requesting daemon will soon see the same. */
+const NOT_COUNTER_WAIT_MS = 300
+/** A request that is received again within this time gets the same reply and takes no second permit. */
+const DUPLICATE_WINDOW_MS = 1000
 
-interface Answered {
+interface SentReply {
   readonly reply: permitWire.PermitReply
   readonly at: number
 }
@@ -33,44 +33,44 @@
 /**
  * Creates the server.
  *
- * @param options - The counter, and the way back.
+ * @param options - The counter, transport, metrics and clock.
  * @returns The server.
  */
 export function createPermitServer ({ counter, partOf, send, count, now }: PermitServerOptions): PermitServer {
-  /** In the order of their times. */
-  const answered = new Map<string, Answered>()
+  /** Oldest first. */
+  const recentReplies = new Map<string, SentReply>()
 
-  function forgetOld (): void {
-    for (const [key, { at }] of answered) {
-      if (now() - at < DOUBLED_MS) return
-      answered.delete(key)
+  function removeOldReplies (): void {
+    for (const [key, { at }] of recentReplies) {
+      if (now() - at < DUPLICATE_WINDOW_MS) return
+      recentReplies.delete(key)
     }
   }
 
-  function answer ({ number, life, perSecond, ageMs, isLate }: permitWire.PermitAsk): permitWire.PermitReply {
+  function answerRequest ({ requestId, life, perSecond, ageMs, isLate }: permitWire.PermitRequest): permitWire.PermitReply {
     const part = partOf(life)
     if (part === null) {
       count('permits_answered', { answer: 'elsewhere' })
-      return { number, waitMs: ELSEWHERE_WAIT_MS }
+      return { requestId, waitMs: NOT_COUNTER_WAIT_MS }
     }
-    const given = counter.take({ life, perSecond, heardAt: now() - ageMs }, part, isLate)
-    count('permits_answered', { answer: given.isGranted ? 'granted' : 'refused' })
-    return { number, waitMs: given.isGranted ? 0 : given.waitMs }
+    const decision = counter.take({ life, perSecond, heardAt: now() - ageMs }, part, isLate)
+    count('permits_answered', { answer: decision.isGranted ? 'granted' : 'refused' })
+    return { requestId, waitMs: decision.isGranted ? 0 : decision.waitMs }
   }
 
   return {
     receive: (bytes, from) => {
-      if (!permitWire.isAsk(bytes)) return false
-      const ask = permitWire.decodeAsk(bytes)
-      if (ask === null) {
+      if (!permitWire.isRequest(bytes)) return false
+      const request = permitWire.decodeRequest(bytes)
+      if (request === null) {
         count('datagrams_dropped', { reason: 'bad-permit' })
         return true
       }
-      forgetOld()
-      const key = `${from}/${ask.number}`
-      const known = answered.get(key)
-      const reply = known?.reply ?? answer(ask)
-      if (known === undefined) answered.set(key, { reply, at: now() })
+      removeOldReplies()
+      const key = `${from}/${request.requestId}`
+      const previous = recentReplies.get(key)
+      const reply = previous?.reply ?? answerRequest(request)
+      if (previous === undefined) recentReplies.set(key, { reply, at: now() })
       send(from, permitWire.formatReply(reply))
       return true
     }
--- a/packages/rate-limits/src/createRateLimitRecord/index.ts
+++ b/packages/rate-limits/src/createRateLimitRecord/index.ts
@@ -1,14 +1,14 @@
-/** What one daemon knows of the rates that back ends name: which are in force, since when, and which have ended. */
+/** Records the rate limits of back ends that one daemon knows: which are in force, since when, and which have ended. */
 import type * as types from '@switchridge/types'
 import type * as rateLimits from '../types/index.js'
 
-/** Where the word of a limit comes from. */
+/** Where a limit was learned from: the back end's own response, or another daemon. */
 export type RateLimitSource = 'answer' | 'peer'
 
-/** A limit that became another one. */
+/** A change of a limit. */
 export interface RateLimitChange {
   readonly life: types.BackEndLife
-  /** Requests a second; null for none. */
+  /** Requests per second; null for no limit. */
   readonly before: number | null
   readonly after: number | null
   readonly source: RateLimitSource
@@ -17,88 +17,91 @@
 /** Options of {@link createRateLimitRecord}. */
 export interface RateLimitRecordOptions {
   readonly onChange: (change: RateLimitChange) => void
-  /** Told of a named rate that can't be right, once for each text. */
+  /** Called with an advertised limit that can't be parsed, but not again while the text stays the same. */
   readonly onUnreadable: (life: types.BackEndLife, text: string) => void
-  /** Tells all others of a limit that is new to this daemon, or was not told for long. */
+  /** Broadcasts a limit that is new to this daemon or was not broadcast for a while to all other gateways. */
   readonly tell: (limit: rateLimits.RateLimit) => void
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
 }
 
-/** The record. */
+/** The rate limits that one daemon knows. */
 export interface RateLimitRecord {
   /**
-   * Notes what an answer says.
+   * Records the limit that a response advertises.
    *
-   * @param life - The back end that answered.
-   * @param rate - What the head of its answer names.
+   * @param life - The run of the back end that responded.
+   * @param rate - What the headers of its response advertise.
    * @param sentAt - Monotonic time in milliseconds at which the call was sent.
    */
   readonly noteAnswer: (life: types.BackEndLife, rate: rateLimits.NamedRate, sentAt: number) => void
-  /** Notes what another daemon heard; the newest word holds. */
+  /** Records a limit received from another daemon, if it is newer than the known one. */
   readonly noteTold: (limit: rateLimits.RateLimit) => void
   /** The limit in force, or null. */
   readonly read: (life: types.BackEndLife) => rateLimits.RateLimit | null
-  /** Whether no back end ever named a limit. */
+  /** Whether no limit is recorded, not even one that has ended. */
   readonly isEmpty: () => boolean
-  /** Limits in force. */
+  /** All limits in force. */
   readonly inForce: () => rateLimits.RateLimit[]
-  /** Forgets lives that have ended. */
+  /** Removes the limits of back ends that are no longer listed. */
   readonly keepOnly: (lives: ReadonlySet<types.BackEndLife>) => void
 }
 
-/** A daemon that missed the first word of a limit, and its repairs, hears it again after this. */
-const TELL_AGAIN_MS = 30_000
-/** What others are told is remembered by all for a while, so a limit that changes often is not told each time; who counts hears of it by asks. */
-const TELL_CHANGED_MS = 5000
-/** The word of a limit may come before the list of back ends does. */
-const UNLISTED_KEPT_MS = 30_000
+/** An unchanged limit is broadcast again after this time, for daemons that missed the first broadcast and its repairs. */
+const REBROADCAST_MS = 30_000
+/**
+ * Shortest time between broadcasts of a limit that changes: all daemons store each broadcast for a while, so a limit that changes often must not be sent each
+ * time. The counter learns of each change from permit requests.
+ */
+const CHANGE_BROADCAST_MS = 5000
+/** The limit of an unlisted back end is kept for this time, since it may be received before the list of back ends. */
+const UNLISTED_RETENTION_MS = 30_000
 
 interface Entry {
   limit: rateLimits.RateLimit
-  toldAt: number
+  broadcastAt: number
 }
 
 /**
- * Creates a record without limits.
+ * Creates an empty record.
  *
- * @param options - Who is told of changes, and the clock.
+ * @param options - Listeners, broadcast and clock.
  * @returns The record.
  */
 export function createRateLimitRecord ({ onChange, onUnreadable, tell, now }: RateLimitRecordOptions): RateLimitRecord {
   const entries = new Map<types.BackEndLife, Entry>()
-  const unreadable = new Map<types.BackEndLife, string>()
+  const unreadableTexts = new Map<types.BackEndLife, string>()
 
   function readPerSecond (life: types.BackEndLife): number | null {
     return entries.get(life)?.limit.perSecond ?? null
   }
 
-  function set (limit: rateLimits.RateLimit, source: RateLimitSource, toldAt: number): void {
+  function set (limit: rateLimits.RateLimit, source: RateLimitSource, broadcastAt: number): void {
     const before = readPerSecond(limit.life)
-    entries.set(limit.life, { limit, toldAt })
+    entries.set(limit.life, { limit, broadcastAt })
     if (before !== limit.perSecond) onChange({ life: limit.life, before, after: limit.perSecond, source })
   }
 
-  function isToldOften ({ limit, toldAt }: Entry, perSecond: number): boolean {
+  function wasBroadcastRecently ({ limit, broadcastAt }: Entry, perSecond: number): boolean {
     if (limit.perSecond === null) return false
-    return now() - toldAt < (limit.perSecond === perSecond ? TELL_AGAIN_MS : TELL_CHANGED_MS)
+    return now() - broadcastAt < (limit.perSecond === perSecond ? REBROADCAST_MS : CHANGE_BROADCAST_MS)
   }
 
-  function noteNamed (life: types.BackEndLife, perSecond: number): void {
-    const known = entries.get(life)
-    const isTold = known !== undefined && isToldOften(known, perSecond)
+  function noteAdvertised (life: types.BackEndLife, perSecond: number): void {
+    const entry = entries.get(life)
+    const wasBroadcast = entry !== undefined && wasBroadcastRecently(entry, perSecond)
     const limit = { life, perSecond, heardAt: now() }
-    set(limit, 'answer', isTold ? known.toldAt : now())
-    if (!isTold) tell(limit)
+    set(limit, 'answer', wasBroadcast ? entry.broadcastAt : now())
+    if (!wasBroadcast) tell(limit)
   }
 
   /**
-   * Answers on several connections overtake each other, so one without a limit may be older than one that names it. It ends the limit
-   * only if its call was sent after the limit was last heard.
+   * Responses on different connections overtake each other, so one without a limit may be older than one that advertises it. It ends the limit
+   * only if its call was sent after the limit was last received.
    */
   function noteUnlimited (life: types.BackEndLife, sentAt: number): void {
-    const known = entries.get(life)
-    if (known === undefined || known.limit.perSecond === null || sentAt <= known.limit.heardAt) return
+    const entry = entries.get(life)
+    if (entry === undefined || entry.limit.perSecond === null || sentAt <= entry.limit.heardAt) return
     const limit = { life, perSecond: null, heardAt: now() }
     set(limit, 'answer', now())
     tell(limit)
@@ -112,20 +115,20 @@
     isEmpty: () => entries.size === 0,
     inForce: () => [...entries.values()].map(({ limit }) => limit).filter(({ perSecond }) => perSecond !== null),
     noteAnswer: (life, rate, sentAt) => {
-      if (rate.kind === 'named') noteNamed(life, rate.perSecond)
+      if (rate.kind === 'named') noteAdvertised(life, rate.perSecond)
       else if (rate.kind === 'none') noteUnlimited(life, sentAt)
-      else if (unreadable.get(life) !== rate.text) {
-        unreadable.set(life, rate.text)
+      else if (unreadableTexts.get(life) !== rate.text) {
+        unreadableTexts.set(life, rate.text)
         onUnreadable(life, rate.text)
       }
     },
     noteTold: (limit) => {
-      const known = entries.get(limit.life)
-      if (known === undefined || limit.heardAt > known.limit.heardAt) set(limit, 'peer', now())
+      const entry = entries.get(limit.life)
+      if (entry === undefined || limit.heardAt > entry.limit.heardAt) set(limit, 'peer', now())
     },
     keepOnly: (lives) => {
-      for (const life of unreadable.keys()) if (!lives.has(life)) unreadable.delete(life)
-      for (const [life, { limit }] of entries) if (!lives.has(life) && now() - limit.heardAt > UNLISTED_KEPT_MS) entries.delete(life)
+      for (const life of unreadableTexts.keys()) if (!lives.has(life)) unreadableTexts.delete(life)
+      for (const [life, { limit }] of entries) if (!lives.has(life) && now() - limit.heardAt > UNLISTED_RETENTION_MS) entries.delete(life)
     }
   }
 }
--- a/packages/rate-limits/src/createRateLimitRecord/test.ts
+++ b/packages/rate-limits/src/createRateLimitRecord/test.ts
@@ -6,61 +6,61 @@
 
 const LIFE = types.formatLife(types.brandId('engine-1'), null)
 
-interface Opened {
+interface Fixture {
   readonly record: createRateLimitRecord.RateLimitRecord
   readonly changes: createRateLimitRecord.RateLimitChange[]
-  readonly told: rateLimits.RateLimit[]
+  readonly broadcasts: rateLimits.RateLimit[]
   readonly unreadable: string[]
   time: number
 }
 
-function open (): Opened {
-  const opened = { time: 1000, changes: [], told: [], unreadable: [] } as unknown as Omit<Opened, 'record'> & { record: Opened['record'] }
-  opened.record = createRateLimitRecord.createRateLimitRecord({
-    onChange: (change) => { opened.changes.push(change) },
-    onUnreadable: (_life, text) => { opened.unreadable.push(text) },
-    tell: (limit) => { opened.told.push(limit) },
-    now: () => opened.time
+function createFixture (): Fixture {
+  const fixture = { time: 1000, changes: [], broadcasts: [], unreadable: [] } as unknown as Omit<Fixture, 'record'> & { record: Fixture['record'] }
+  fixture.record = createRateLimitRecord.createRateLimitRecord({
+    onChange: (change) => { fixture.changes.push(change) },
+    onUnreadable: (_life, text) => { fixture.unreadable.push(text) },
+    tell: (limit) => { fixture.broadcasts.push(limit) },
+    now: () => fixture.time
   })
-  return opened
+  return fixture
 }
 
-nodeTest.test('a limit holds from the first answer that names it, and a newer one replaces it', () => {
-  const opened = open()
-  const { record, changes, told } = opened
+nodeTest.test('a limit applies from the first response that advertises it, and a newer one replaces it', () => {
+  const fixture = createFixture()
+  const { record, changes, broadcasts } = fixture
   record.noteAnswer(LIFE, { kind: 'named', perSecond: 6 }, 900)
   record.noteAnswer(LIFE, { kind: 'named', perSecond: 6 }, 900)
-  opened.time += 5000
+  fixture.time += 5000
   record.noteAnswer(LIFE, { kind: 'named', perSecond: 2 }, 900)
   assert.equal(record.read(LIFE)?.perSecond, 2)
   assert.deepEqual(changes.map(({ before, after }) => [before, after]), [[null, 6], [6, 2]])
-  assert.deepEqual(told.map(({ perSecond }) => perSecond), [6, 2])
+  assert.deepEqual(broadcasts.map(({ perSecond }) => perSecond), [6, 2])
 })
 
-nodeTest.test('an answer without a limit ends it only if its call was sent after the limit was heard', () => {
-  const opened = open()
-  const { record } = opened
+nodeTest.test('a response without a limit ends it only if its call was sent after the limit was received', () => {
+  const fixture = createFixture()
+  const { record } = fixture
   record.noteAnswer(LIFE, { kind: 'named', perSecond: 6 }, 900)
-  opened.time = 1100
+  fixture.time = 1100
   record.noteAnswer(LIFE, { kind: 'none' }, 1000)
   assert.equal(record.read(LIFE)?.perSecond, 6)
   record.noteAnswer(LIFE, { kind: 'none' }, 1001)
   assert.equal(record.read(LIFE), null)
-  assert.deepEqual(opened.told.map(({ perSecond }) => perSecond), [6, null])
+  assert.deepEqual(fixture.broadcasts.map(({ perSecond }) => perSecond), [6, null])
 })
 
-nodeTest.test('no time ends a limit while its back end is listed', () => {
-  const opened = open()
-  opened.record.noteAnswer(LIFE, { kind: 'named', perSecond: 6 }, 900)
-  opened.time = 10_000_000
-  opened.record.keepOnly(new Set([LIFE]))
-  assert.equal(opened.record.read(LIFE)?.perSecond, 6)
-  opened.record.keepOnly(new Set())
-  assert.equal(opened.record.read(LIFE), null)
+nodeTest.test('a limit does not expire while its back end is listed', () => {
+  const fixture = createFixture()
+  fixture.record.noteAnswer(LIFE, { kind: 'named', perSecond: 6 }, 900)
+  fixture.time = 10_000_000
+  fixture.record.keepOnly(new Set([LIFE]))
+  assert.equal(fixture.record.read(LIFE)?.perSecond, 6)
+  fixture.record.keepOnly(new Set())
+  assert.equal(fixture.record.read(LIFE), null)
 })
 
-nodeTest.test('what can not be read leaves the last good limit in force, and is said once', () => {
-  const { record, unreadable } = open()
+nodeTest.test('an unreadable limit leaves the last valid one in force and is reported once', () => {
+  const { record, unreadable } = createFixture()
   record.noteAnswer(LIFE, { kind: 'named', perSecond: 6 }, 900)
   record.noteAnswer(LIFE, { kind: 'unreadable', text: '-1' }, 2000)
   record.noteAnswer(LIFE, { kind: 'unreadable', text: '-1' }, 2000)
@@ -68,8 +68,8 @@
   assert.deepEqual(unreadable, ['-1'])
 })
 
-nodeTest.test('of what others tell the newest word holds', () => {
-  const { record } = open()
+nodeTest.test('the newest of the limits received from other daemons applies', () => {
+  const { record } = createFixture()
   record.noteTold({ life: LIFE, perSecond: 3, heardAt: 500 })
   record.noteTold({ life: LIFE, perSecond: 5, heardAt: 400 })
   assert.equal(record.read(LIFE)?.perSecond, 3)
@@ -77,39 +77,39 @@
   assert.equal(record.read(LIFE), null)
 })
 
-nodeTest.test('another life of a back end starts without a limit', () => {
-  const { record } = open()
+nodeTest.test('a restarted back end starts without a limit', () => {
+  const { record } = createFixture()
   record.noteAnswer(types.formatLife(types.brandId('engine-1'), 1), { kind: 'named', perSecond: 6 }, 900)
   assert.equal(record.read(types.formatLife(types.brandId('engine-1'), 2)), null)
 })
 
-nodeTest.test('a limit that goes on is told again to those that missed it', () => {
-  const opened = open()
-  opened.record.noteAnswer(LIFE, { kind: 'named', perSecond: 6 }, 900)
-  opened.time += 61_000
-  opened.record.noteAnswer(LIFE, { kind: 'named', perSecond: 6 }, 900)
-  assert.equal(opened.told.length, 2)
-  assert.equal(opened.changes.length, 1)
+nodeTest.test('an unchanged limit is broadcast again for daemons that missed it', () => {
+  const fixture = createFixture()
+  fixture.record.noteAnswer(LIFE, { kind: 'named', perSecond: 6 }, 900)
+  fixture.time += 61_000
+  fixture.record.noteAnswer(LIFE, { kind: 'named', perSecond: 6 }, 900)
+  assert.equal(fixture.broadcasts.length, 2)
+  assert.equal(fixture.changes.length, 1)
 })
 
-nodeTest.test('a limit that changes with each answer is told a few times a minute, and its beginning and end at once', () => {
-  const opened = open()
+nodeTest.test('a limit that changes with each response is broadcast a few times a minute, and its start and end at once', () => {
+  const fixture = createFixture()
   for (let second = 0; second < 60; second += 1) {
-    opened.record.noteAnswer(LIFE, { kind: 'named', perSecond: 5 + second % 7 }, opened.time)
-    opened.time += 1000
+    fixture.record.noteAnswer(LIFE, { kind: 'named', perSecond: 5 + second % 7 }, fixture.time)
+    fixture.time += 1000
   }
-  assert.ok(opened.told.length <= 13, `${opened.told.length} times`)
-  opened.record.noteAnswer(LIFE, { kind: 'none' }, opened.time)
-  opened.record.noteAnswer(LIFE, { kind: 'named', perSecond: 3 }, opened.time)
-  assert.deepEqual(opened.told.slice(-2).map(({ perSecond }) => perSecond), [null, 3])
+  assert.ok(fixture.broadcasts.length <= 13, `${fixture.broadcasts.length} times`)
+  fixture.record.noteAnswer(LIFE, { kind: 'none' }, fixture.time)
+  fixture.record.noteAnswer(LIFE, { kind: 'named', perSecond: 3 }, fixture.time)
+  assert.deepEqual(fixture.broadcasts.slice(-2).map(({ perSecond }) => perSecond), [null, 3])
 })
 
-nodeTest.test('what another daemon told again is not told once more', () => {
-  const opened = open()
-  opened.record.noteAnswer(LIFE, { kind: 'named', perSecond: 6 }, 900)
-  opened.time += 29_000
-  opened.record.noteTold({ life: LIFE, perSecond: 6, heardAt: opened.time })
-  opened.time += 2000
-  opened.record.noteAnswer(LIFE, { kind: 'named', perSecond: 6 }, 900)
-  assert.equal(opened.told.length, 1)
+nodeTest.test('a limit that another daemon has just broadcast is not broadcast again', () => {
+  const fixture = createFixture()
+  fixture.record.noteAnswer(LIFE, { kind: 'named', perSecond: 6 }, 900)
+  fixture.time += 29_000
+  fixture.record.noteTold({ life: LIFE, perSecond: 6, heardAt: fixture.time })
+  fixture.time += 2000
+  fixture.record.noteAnswer(LIFE, { kind: 'named', perSecond: 6 }, 900)
+  assert.equal(fixture.broadcasts.length, 1)
 })
--- a/packages/rate-limits/src/index.ts
+++ b/packages/rate-limits/src/index.ts
@@ -1,4 +1,4 @@
-/** Keeps the rates that back ends name, over all daemons that send to them. */
+/** Enforces the rate limits that back ends advertise, across all gateways that send requests to them. */
 export * from './chooseCounter/index.js'
 export * from './createPermitClient/index.js'
 export * from './createPermitCounter/index.js'
--- a/packages/rate-limits/src/types/index.ts
+++ b/packages/rate-limits/src/types/index.ts
@@ -1,33 +1,33 @@
-/** Shapes of rate limits: what back ends name, and what follows from it. */
+/** Types of rate limits and permits. */
 import type * as types from '@switchridge/types'
 
-/** What one answer says of the rate that its back end takes. */
+/** The rate limit that one response of a back end advertises. */
 export type NamedRate =
-  /** It takes what its places allow. */
+  /** No rate limit; only the slots of the back end bound its load. */
   | { readonly kind: 'none' }
-  /** Requests a second from all machines together; above zero. */
+  /** Requests per second from all gateways together; above zero. */
   | { readonly kind: 'named', readonly perSecond: number }
   | { readonly kind: 'unreadable', readonly text: string }
 
-/** The limit of one life of a back end. */
+/** The rate limit of one run of a back end process. */
 export interface RateLimit {
   readonly life: types.BackEndLife
-  /** Requests a second from all machines together; null once the back end has stopped naming a limit. */
+  /** Requests per second from all gateways together; null once the back end has stopped advertising a limit. */
   readonly perSecond: number | null
-  /** Monotonic time in milliseconds when a daemon last heard so from the back end. */
+  /** Monotonic time in milliseconds at which a daemon last received this value from the back end. */
   readonly heardAt: number
 }
 
-/** Whether a request may be sent to a back end with a limit now, or when to ask again. */
+/** Whether a request may be sent to a rate-limited back end now, or when to ask again. */
 export type PermitAnswer =
   | { readonly isGranted: true }
-  /** `waitMs`: milliseconds after which a permit is expected. */
+  /** `waitMs`: milliseconds until a permit is expected to be available. */
   | { readonly isGranted: false, readonly waitMs: number }
 
-/** A way by which the gateways of a fleet keep one limit together; one of these at each gateway. */
-export interface PermitWay {
-  /** Milliseconds until it is worth asking; 0 for now. */
+/** Provides the permits of one gateway; the sources of all gateways together keep each rate limit. */
+export interface PermitSource {
+  /** Milliseconds until a permit should be requested; 0 if it may be requested now. `isLate` as in `acquire`. */
   readonly waitMs: (life: types.BackEndLife, isLate: boolean) => number
-  /** Asks for one request, which is sent at once when it may be; `isLate`: its answer can no longer be in time. */
+  /** Requests a permit for one request, which must be sent at once if granted; `isLate`: its answer will miss its target time. */
   readonly acquire: (limit: RateLimit, isLate: boolean) => Promise<PermitAnswer>
 }
