--- a/packages/quarantine/src/createQuarantine/index.ts
+++ b/packages/quarantine/src/createQuarantine/index.ts
@@ -1,61 +1,61 @@
-/** Remembers under which calls back ends ended, and which calls are refused for it. */
+/** Records which calls were lost when back ends ended, and which calls are blocked for it. */
 import * as types from '@switchridge/types'
 import type * as identifyCall from '../identifyCall/index.js'
-import * as selectBlocked from '../selectBlocked/index.js'
+import * as selectCallsToBlock from '../selectCallsToBlock/index.js'
 import * as quarantine from '../types/index.js'
 
-/** Why a block ended before its time: another call explains the ends, or the call was served after all. */
+/** Why a block was lifted early: another call explains the ends, or the call was completed after all. */
 export type ReleaseReason = 'explained' | 'served'
 
 /** Options of {@link createQuarantine}. */
 export interface QuarantineOptions {
   readonly limits: quarantine.QuarantineLimits
-  /** Told of each call that is blocked, with the back ends that ended under it as far as they are known. */
+  /** Called for each call that is blocked, with the back ends that ended while running it, as far as known. */
   readonly onBlocked: (block: quarantine.CallBlock, lives: readonly types.BackEndLife[]) => void
   readonly onReleased: (block: quarantine.CallBlock, reason: ReleaseReason) => void
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
 }
 
-/** What one gateway knows of calls that end back ends, from itself and from others. */
+/** What one gateway knows of calls that crash back ends, from its own observations and from other gateways. */
 export interface Quarantine {
-  /** Notes a back end's end with calls that it took along; what others tell of the same end is added. */
-  readonly noteEnd: (end: quarantine.BackEndEnd) => void
-  /** Notes that a call was served to its end; returns whether others should know, since the call is suspected of more than one end. */
+  /** Records the end of a back end with calls that were lost; reports of other gateways about the same end are merged. */
+  readonly noteEnd: (end: quarantine.BackEndTermination) => void
+  /** Records that a call was completed; returns whether to tell other gateways, since the call was blocked or is suspected of more than one end. */
   readonly noteServed: (call: identifyCall.CallFingerprint, at: number) => boolean
-  /** Takes over a block from another gateway or from the store. */
+  /** Adopts a block from another gateway or from the store. */
   readonly noteBlock: (block: quarantine.CallBlock) => void
-  /** Milliseconds for which a call is still blocked; null when it may run. */
+  /** Milliseconds for which a call is still blocked; null if it may run. */
   readonly findBlock: (call: identifyCall.CallFingerprint) => number | null
-  /** Whether any call is suspected or blocked; otherwise nobody needs to know which call is which. */
+  /** Whether any end or block is stored; otherwise callers needn't compute fingerprints. */
   readonly isActive: () => boolean
-  /** Blocks in force. */
+  /** All blocks in force. */
   readonly blocks: () => quarantine.CallBlock[]
-  /** Calls that were there when a back end ended, and were not served since. */
+  /** Number of calls that were lost with a back end and have not been completed since. */
   readonly countSuspects: () => number
-  /** Ends that are remembered. */
+  /** Number of ends that are stored. */
   readonly countEnds: () => number
 }
 
-/** Milliseconds that a block lasts. */
+/** Computes for how many milliseconds a block lasts. */
 export function computeBlockMs (count: number, limits: Pick<quarantine.QuarantineLimits, 'blockMs' | 'maximumBlockMs'>): number {
   return Math.min(limits.maximumBlockMs, limits.blockMs * quarantine.BLOCK_FACTOR ** (count - 1))
 }
 
-/** Milliseconds for which a block is remembered: after it the call may run, and for as long again one end blocks it anew. */
+/** Computes for how many milliseconds a block is stored: after the block the call is on probation for the same time, during which a single end blocks it again. */
 export function computeBlockKeptMs (count: number, limits: Pick<quarantine.QuarantineLimits, 'blockMs' | 'maximumBlockMs'>): number {
   return 2 * computeBlockMs(count, limits)
 }
 
 /**
- * Ends of one name that are further apart are two: a back end may start again under its id before its new life is known everywhere, and needs longer than
- * this. Words of one end differ by what was under way.
+ * Reports about the same back end that are at most this far apart describe the same end; their times differ by delays of detection and network. A back end may
+ * restart under its id before its new start time is known everywhere, but takes longer than this to do so.
  */
 const SAME_END_MS = 1000
-/** Ends of calls that were blocked before: one is enough. */
+/** Number of ends after which a call on probation, whose last block is over, is blocked again. */
 const ENDS_ON_PROBATION = 1
-/** Others hear that a call was served if it is suspected of so many ends. */
-const SUSPECTED_ENDS = 2
+/** Other gateways are told that a call was completed if it is suspected of this many ends. */
+const ENDS_TO_SHARE_SERVED = 2
 
 /**
  * Creates an empty quarantine.
@@ -65,8 +65,8 @@
  */
 export function createQuarantine (options: QuarantineOptions): Quarantine {
   const { limits, now } = options
-  /** The oldest first. */
-  const ends = new Map<types.BackEndLife, quarantine.BackEndEnd>()
+  /** Oldest first. */
+  const ends = new Map<types.BackEndLife, quarantine.BackEndTermination>()
   const endCounts = new Map<identifyCall.CallFingerprint, number>()
   const servedAt = new Map<identifyCall.CallFingerprint, number>()
   const blocks = new Map<identifyCall.CallFingerprint, quarantine.CallBlock>()
@@ -75,9 +75,9 @@
     return now() - since < computeBlockMs(count, limits)
   }
 
-  function countCalls ({ calls }: quarantine.BackEndEnd, by: number): void {
+  function addToEndCounts ({ calls }: quarantine.BackEndTermination, delta: number): void {
     for (const call of calls) {
-      const count = (endCounts.get(call) ?? 0) + by
+      const count = (endCounts.get(call) ?? 0) + delta
       if (count > 0) endCounts.set(call, count)
       else {
         endCounts.delete(call)
@@ -86,18 +86,18 @@
     }
   }
 
-  /** The end that is remembered and meant, if there is one, under the name that tells it apart from earlier ones. */
-  function findLife ({ life, at }: quarantine.BackEndEnd): types.BackEndLife {
-    for (let again = 0; ; again += 1) {
-      const name = again === 0 ? life : types.brandId<types.BackEndLife>(`${life}~${again}`)
-      const known = ends.get(name)
-      if (known === undefined || Math.abs(known.at - at) <= SAME_END_MS) return name
+  /** Returns the key of the stored end that a report describes, or an unused key with a suffix that distinguishes it from earlier ends under the same id. */
+  function findEndKey ({ life, at }: quarantine.BackEndTermination): types.BackEndLife {
+    for (let repetition = 0; ; repetition += 1) {
+      const key = repetition === 0 ? life : types.brandId<types.BackEndLife>(`${life}~${repetition}`)
+      const known = ends.get(key)
+      if (known === undefined || Math.abs(known.at - at) <= SAME_END_MS) return key
     }
   }
 
-  function removeEnd (end: quarantine.BackEndEnd): void {
+  function removeEnd (end: quarantine.BackEndTermination): void {
     ends.delete(end.life)
-    countCalls(end, -1)
+    addToEndCounts(end, -1)
   }
 
   function expire (): void {
@@ -108,32 +108,32 @@
     }
   }
 
-  /** From when on ends count against a call: after a block that is over, only later ones. */
-  function countFrom (call: identifyCall.CallFingerprint): number {
+  /** The time from which on ends count against a call: after a block that is over, only later ends do. */
+  function countEndsFrom (call: identifyCall.CallFingerprint): number {
     const block = blocks.get(call)
     return block === undefined || isInForce(block) ? -Infinity : block.since + computeBlockMs(block.count, limits)
   }
 
-  function limitOf (call: identifyCall.CallFingerprint): number {
+  function requiredEnds (call: identifyCall.CallFingerprint): number {
     const block = blocks.get(call)
     return block === undefined || isInForce(block) ? limits.ends : ENDS_ON_PROBATION
   }
 
-  /** Most calls at an end are new there, and change nothing. Looking at all ends for them, too, would be most of the work. */
-  function mayBeBlocked (call: identifyCall.CallFingerprint): boolean {
-    return (endCounts.get(call) ?? 0) >= limitOf(call)
+  /** Cheap check before all ends are examined: most calls that are lost with a back end have no earlier ends and can't be blocked. */
+  function hasRequiredEnds (call: identifyCall.CallFingerprint): boolean {
+    return (endCounts.get(call) ?? 0) >= requiredEnds(call)
   }
 
-  function judge (): void {
-    const { blocked, explained } = selectBlocked.selectBlocked({ ends: ends.values(), servedAt: (call) => servedAt.get(call) ?? -Infinity, limitOf, countFrom })
+  function updateBlocks (): void {
+    const { blocked, explained } = selectCallsToBlock.selectCallsToBlock({ ends: ends.values(), servedAt: (call) => servedAt.get(call) ?? -Infinity, requiredEnds, countEndsFrom })
     for (const call of explained) release(call, 'explained')
     for (const call of blocked) {
       const known = blocks.get(call)
-      if (known === undefined || !isInForce(known)) block(call, (known?.count ?? 0) + 1)
+      if (known === undefined || !isInForce(known)) addBlock(call, (known?.count ?? 0) + 1)
     }
   }
 
-  function block (fingerprint: identifyCall.CallFingerprint, count: number): void {
+  function addBlock (fingerprint: identifyCall.CallFingerprint, count: number): void {
     const added = { fingerprint, count, since: now() }
     blocks.set(fingerprint, added)
     options.onBlocked(added, [...ends.values()].filter(({ calls }) => calls.has(fingerprint)).map(({ life }) => life))
@@ -146,8 +146,8 @@
     options.onReleased(known, reason)
   }
 
-  /** A call that was served is no longer blocked, nor on probation. */
-  function clear (call: identifyCall.CallFingerprint, at: number): boolean {
+  /** Ends the block or the probation of a call that was completed after the block began; returns whether there was one. */
+  function unblockServed (call: identifyCall.CallFingerprint, at: number): boolean {
     const block = blocks.get(call)
     if (block === undefined || at <= block.since) return false
     release(call, 'served')
@@ -159,33 +159,33 @@
     noteEnd: (end) => {
       expire()
       if (now() - end.at > limits.evidenceMs) return
-      const life = findLife(end)
+      const life = findEndKey(end)
       const known = ends.get(life)
-      const isNews = known === undefined || [...end.calls].some((call) => !known.calls.has(call))
-      if (!isNews) return
+      const hasNewCalls = known === undefined || [...end.calls].some((call) => !known.calls.has(call))
+      if (!hasNewCalls) return
       if (known !== undefined) removeEnd(known)
       const merged = known === undefined ? { ...end, life } : { ...known, at: Math.min(known.at, end.at), calls: new Set([...known.calls, ...end.calls]) }
       ends.set(life, merged)
-      countCalls(merged, 1)
-      if ([...merged.calls].some(mayBeBlocked)) judge()
+      addToEndCounts(merged, 1)
+      if ([...merged.calls].some(hasRequiredEnds)) updateBlocks()
     },
     noteServed: (call, at) => {
       const count = endCounts.get(call) ?? 0
       const before = servedAt.get(call) ?? -Infinity
-      const isCleared = clear(call, at)
-      if (count === 0 || at <= before) return isCleared
+      const wasUnblocked = unblockServed(call, at)
+      if (count === 0 || at <= before) return wasUnblocked
       servedAt.set(call, at)
-      return isCleared || count >= SUSPECTED_ENDS
+      return wasUnblocked || count >= ENDS_TO_SHARE_SERVED
     },
-    noteBlock: (told) => {
+    noteBlock: (received) => {
       expire()
-      const known = blocks.get(told.fingerprint)
-      if (now() - told.since >= computeBlockKeptMs(told.count, limits)) return
-      if (known !== undefined && known.count >= told.count) return
-      if ((servedAt.get(told.fingerprint) ?? -Infinity) > told.since) return
-      blocks.set(told.fingerprint, told)
-      if (isInForce(told)) options.onBlocked(told, [])
-      judge()
+      const known = blocks.get(received.fingerprint)
+      if (now() - received.since >= computeBlockKeptMs(received.count, limits)) return
+      if (known !== undefined && known.count >= received.count) return
+      if ((servedAt.get(received.fingerprint) ?? -Infinity) > received.since) return
+      blocks.set(received.fingerprint, received)
+      if (isInForce(received)) options.onBlocked(received, [])
+      updateBlocks()
     },
     findBlock: (call) => {
       const block = blocks.get(call)
--- a/packages/quarantine/src/createQuarantine/test.ts
+++ b/packages/quarantine/src/createQuarantine/test.ts
@@ -7,37 +7,37 @@
 import * as createQuarantine from './index.js'
 
 const LIMITS: quarantine.QuarantineLimits = { ends: 3, evidenceMs: 600_000, blockMs: 600_000, maximumBlockMs: 86_400_000, maximumEnds: 50, maximumBlocks: 10 }
-const LETHAL = types.brandId<identifyCall.CallFingerprint>('lethal')
+const CRASHING = types.brandId<identifyCall.CallFingerprint>('crashing')
 
 function fingerprint (name: string): identifyCall.CallFingerprint {
   return types.brandId<identifyCall.CallFingerprint>(name)
 }
 
-interface Play {
+interface Fixture {
   readonly quarantine: createQuarantine.Quarantine
-  /** What listeners were told, as words. */
-  readonly heard: string[]
-  readonly pass: (milliseconds: number) => void
+  /** Calls of the listeners, as text. */
+  readonly events: string[]
+  readonly advance: (milliseconds: number) => void
   readonly now: () => number
-  /** Notes the end of a new back end under calls. */
+  /** Records the end of a new back end that was running these calls. */
   readonly end: (...calls: string[]) => void
 }
 
-function open (limits: Partial<quarantine.QuarantineLimits> = {}): Play {
+function createFixture (limits: Partial<quarantine.QuarantineLimits> = {}): Fixture {
   let time = 0
   let lives = 0
-  const heard: string[] = []
+  const events: string[] = []
   const record = createQuarantine.createQuarantine({
     limits: { ...LIMITS, ...limits },
-    onBlocked: ({ fingerprint: call, count }, seen) => { heard.push(`blocked ${call} ${count} after ${seen.length}`) },
-    onReleased: ({ fingerprint: call }, reason) => { heard.push(`released ${call} ${reason}`) },
+    onBlocked: ({ fingerprint: call, count }, seen) => { events.push(`blocked ${call} ${count} after ${seen.length}`) },
+    onReleased: ({ fingerprint: call }, reason) => { events.push(`released ${call} ${reason}`) },
     now: () => time
   })
   return {
     quarantine: record,
-    heard,
+    events,
     now: () => time,
-    pass: (milliseconds) => { time += milliseconds },
+    advance: (milliseconds) => { time += milliseconds },
     end: (...calls) => {
       lives += 1
       record.noteEnd({ life: types.brandId<types.BackEndLife>(`i-${lives}`), at: time, calls: new Set(calls.map(fingerprint)) })
@@ -45,130 +45,130 @@
   }
 }
 
-nodeTest.test('a call is blocked at the third end, for as long as the limits say', () => {
-  const play = open()
-  for (const beside of ['a', 'b']) play.end('lethal', beside)
-  assert.equal(play.quarantine.findBlock(LETHAL), null)
-  play.end('lethal', 'c')
-  assert.equal(play.quarantine.findBlock(LETHAL), LIMITS.blockMs)
-  assert.equal(play.quarantine.findBlock(fingerprint('a')), null)
-  assert.deepEqual(play.heard, ['blocked lethal 1 after 3'])
-  play.pass(LIMITS.blockMs)
-  assert.equal(play.quarantine.findBlock(LETHAL), null)
+nodeTest.test('a call is blocked at the third end, for the configured time', () => {
+  const fixture = createFixture()
+  for (const beside of ['a', 'b']) fixture.end('crashing', beside)
+  assert.equal(fixture.quarantine.findBlock(CRASHING), null)
+  fixture.end('crashing', 'c')
+  assert.equal(fixture.quarantine.findBlock(CRASHING), LIMITS.blockMs)
+  assert.equal(fixture.quarantine.findBlock(fingerprint('a')), null)
+  assert.deepEqual(fixture.events, ['blocked crashing 1 after 3'])
+  fixture.advance(LIMITS.blockMs)
+  assert.equal(fixture.quarantine.findBlock(CRASHING), null)
 })
 
-nodeTest.test('the same end told by several gateways counts once', () => {
-  const { quarantine: record, now } = open()
+nodeTest.test('the same end reported by several gateways counts once', () => {
+  const { quarantine: record, now } = createFixture()
   const life = types.brandId<types.BackEndLife>('i-1')
-  for (const beside of ['a', 'b', 'c']) record.noteEnd({ life, at: now(), calls: new Set([LETHAL, fingerprint(beside)]) })
-  assert.equal(record.findBlock(LETHAL), null)
+  for (const beside of ['a', 'b', 'c']) record.noteEnd({ life, at: now(), calls: new Set([CRASHING, fingerprint(beside)]) })
+  assert.equal(record.findBlock(CRASHING), null)
   assert.equal(record.countSuspects(), 4)
 })
 
-nodeTest.test('a back end that starts again under its name and ends again counts again', () => {
-  const { quarantine: record, now, pass } = open()
+nodeTest.test('a back end that restarts under the same id and ends again counts again', () => {
+  const { quarantine: record, now, advance } = createFixture()
   const life = types.brandId<types.BackEndLife>('i-1')
   for (let index = 0; index < 3; index += 1) {
     for (const beside of ['a', 'b']) {
-      record.noteEnd({ life, at: now(), calls: new Set([LETHAL, fingerprint(`${beside}-${index}`)]) })
-      pass(100)
+      record.noteEnd({ life, at: now(), calls: new Set([CRASHING, fingerprint(`${beside}-${index}`)]) })
+      advance(100)
     }
-    assert.equal(record.findBlock(LETHAL) !== null, index === 2)
-    pass(3000)
+    assert.equal(record.findBlock(CRASHING) !== null, index === 2)
+    advance(3000)
   }
 })
 
-nodeTest.test('after a block one end is enough, and the next block is four times as long', () => {
-  const play = open()
-  for (let index = 0; index < 3; index += 1) play.end('lethal')
-  play.pass(LIMITS.blockMs + 1)
-  assert.equal(play.quarantine.findBlock(LETHAL), null)
-  play.end('lethal')
-  assert.equal(play.quarantine.findBlock(LETHAL), 4 * LIMITS.blockMs)
-  play.pass(4 * LIMITS.blockMs + 1)
-  play.end('lethal')
-  assert.equal(play.quarantine.findBlock(LETHAL), 16 * LIMITS.blockMs)
+nodeTest.test('after a block a single end blocks the call again, for four times as long', () => {
+  const fixture = createFixture()
+  for (let index = 0; index < 3; index += 1) fixture.end('crashing')
+  fixture.advance(LIMITS.blockMs + 1)
+  assert.equal(fixture.quarantine.findBlock(CRASHING), null)
+  fixture.end('crashing')
+  assert.equal(fixture.quarantine.findBlock(CRASHING), 4 * LIMITS.blockMs)
+  fixture.advance(4 * LIMITS.blockMs + 1)
+  fixture.end('crashing')
+  assert.equal(fixture.quarantine.findBlock(CRASHING), 16 * LIMITS.blockMs)
 })
 
-nodeTest.test('a call that was served after its block begins anew', () => {
-  const play = open()
-  for (let index = 0; index < 3; index += 1) play.end('call')
-  play.pass(LIMITS.blockMs + 1)
-  assert.equal(play.quarantine.noteServed(fingerprint('call'), play.now()), true)
-  for (let index = 0; index < 2; index += 1) play.end('call')
-  assert.equal(play.quarantine.findBlock(fingerprint('call')), null)
+nodeTest.test('a call that is completed after its block needs three ends again', () => {
+  const fixture = createFixture()
+  for (let index = 0; index < 3; index += 1) fixture.end('call')
+  fixture.advance(LIMITS.blockMs + 1)
+  assert.equal(fixture.quarantine.noteServed(fingerprint('call'), fixture.now()), true)
+  for (let index = 0; index < 2; index += 1) fixture.end('call')
+  assert.equal(fixture.quarantine.findBlock(fingerprint('call')), null)
 })
 
-nodeTest.test('a copy that is served to its end releases its call', () => {
-  const play = open()
-  for (let index = 0; index < 3; index += 1) play.end('call')
-  play.pass(1)
-  assert.equal(play.quarantine.noteServed(fingerprint('call'), play.now()), true)
-  assert.equal(play.quarantine.findBlock(fingerprint('call')), null)
-  assert.deepEqual(play.heard, ['blocked call 1 after 3', 'released call served'])
+nodeTest.test('a completed copy of a blocked call lifts the block', () => {
+  const fixture = createFixture()
+  for (let index = 0; index < 3; index += 1) fixture.end('call')
+  fixture.advance(1)
+  assert.equal(fixture.quarantine.noteServed(fingerprint('call'), fixture.now()), true)
+  assert.equal(fixture.quarantine.findBlock(fingerprint('call')), null)
+  assert.deepEqual(fixture.events, ['blocked call 1 after 3', 'released call served'])
 })
 
-nodeTest.test('a call is released once another one explains the ends, whatever comes first', () => {
-  const play = open()
+nodeTest.test('a block is lifted once another call explains the ends, even if that call is reported later', () => {
+  const fixture = createFixture()
   const lives = [1, 2, 3].map((index) => types.brandId<types.BackEndLife>(`i-shared-${index}`))
-  for (const life of lives) play.quarantine.noteEnd({ life, at: play.now(), calls: new Set([fingerprint('beside')]) })
-  assert.notEqual(play.quarantine.findBlock(fingerprint('beside')), null)
-  play.end('lethal')
-  for (const life of lives) play.quarantine.noteEnd({ life, at: play.now(), calls: new Set([LETHAL]) })
-  assert.equal(play.quarantine.findBlock(fingerprint('beside')), null)
-  assert.notEqual(play.quarantine.findBlock(LETHAL), null)
-  assert.equal(play.heard.at(-1), 'released beside explained')
+  for (const life of lives) fixture.quarantine.noteEnd({ life, at: fixture.now(), calls: new Set([fingerprint('beside')]) })
+  assert.notEqual(fixture.quarantine.findBlock(fingerprint('beside')), null)
+  fixture.end('crashing')
+  for (const life of lives) fixture.quarantine.noteEnd({ life, at: fixture.now(), calls: new Set([CRASHING]) })
+  assert.equal(fixture.quarantine.findBlock(fingerprint('beside')), null)
+  assert.notEqual(fixture.quarantine.findBlock(CRASHING), null)
+  assert.equal(fixture.events.at(-1), 'released beside explained')
 })
 
-nodeTest.test('a block that another gateway tells holds with the time that it has left, and not when it is over', () => {
-  const play = open()
-  play.pass(10_000_000)
-  play.quarantine.noteBlock({ fingerprint: LETHAL, count: 1, since: play.now() - 200_000 })
-  assert.equal(play.quarantine.findBlock(LETHAL), LIMITS.blockMs - 200_000)
-  play.quarantine.noteBlock({ fingerprint: fingerprint('old'), count: 1, since: play.now() - 2 * LIMITS.blockMs })
-  assert.equal(play.quarantine.findBlock(fingerprint('old')), null)
+nodeTest.test('a block from another gateway applies for its remaining time, and not at all once it is over', () => {
+  const fixture = createFixture()
+  fixture.advance(10_000_000)
+  fixture.quarantine.noteBlock({ fingerprint: CRASHING, count: 1, since: fixture.now() - 200_000 })
+  assert.equal(fixture.quarantine.findBlock(CRASHING), LIMITS.blockMs - 200_000)
+  fixture.quarantine.noteBlock({ fingerprint: fingerprint('old'), count: 1, since: fixture.now() - 2 * LIMITS.blockMs })
+  assert.equal(fixture.quarantine.findBlock(fingerprint('old')), null)
 })
 
-nodeTest.test('ends are forgotten in time', () => {
-  const play = open()
-  for (let index = 0; index < 2; index += 1) play.end('rare')
-  play.pass(LIMITS.evidenceMs + 1)
-  play.end('rare')
-  assert.equal(play.quarantine.findBlock(fingerprint('rare')), null)
-  assert.equal(play.quarantine.countSuspects(), 1)
+nodeTest.test('ends expire after the evidence time', () => {
+  const fixture = createFixture()
+  for (let index = 0; index < 2; index += 1) fixture.end('rare')
+  fixture.advance(LIMITS.evidenceMs + 1)
+  fixture.end('rare')
+  assert.equal(fixture.quarantine.findBlock(fingerprint('rare')), null)
+  assert.equal(fixture.quarantine.countSuspects(), 1)
 })
 
-nodeTest.test('memory is bounded, and blocks outlast the ends that gave rise to them', () => {
-  const play = open()
-  for (let index = 0; index < 3; index += 1) play.end('lethal')
+nodeTest.test('memory is bounded, and blocks outlast the ends that caused them', () => {
+  const fixture = createFixture()
+  for (let index = 0; index < 3; index += 1) fixture.end('crashing')
   for (let index = 0; index < 4 * LIMITS.maximumEnds; index += 1) {
-    play.pass(1)
-    play.end(`a-${index}`, `b-${index}`)
+    fixture.advance(1)
+    fixture.end(`a-${index}`, `b-${index}`)
   }
-  assert.ok(play.quarantine.countSuspects() <= 2 * (LIMITS.maximumEnds + 1))
-  assert.notEqual(play.quarantine.findBlock(LETHAL), null)
-  for (let index = 0; index < 4 * LIMITS.maximumBlocks; index += 1) play.quarantine.noteBlock({ fingerprint: fingerprint(`told-${index}`), count: 1, since: play.now() })
-  assert.ok(play.quarantine.blocks().length <= LIMITS.maximumBlocks + 1)
+  assert.ok(fixture.quarantine.countSuspects() <= 2 * (LIMITS.maximumEnds + 1))
+  assert.notEqual(fixture.quarantine.findBlock(CRASHING), null)
+  for (let index = 0; index < 4 * LIMITS.maximumBlocks; index += 1) fixture.quarantine.noteBlock({ fingerprint: fingerprint(`received-${index}`), count: 1, since: fixture.now() })
+  assert.ok(fixture.quarantine.blocks().length <= LIMITS.maximumBlocks + 1)
 })
 
-/** What a gateway may hear, in any order. */
-type Word =
-  | { readonly word: 'end', readonly life: number, readonly call: string }
-  | { readonly word: 'served', readonly call: string, readonly at: number }
+/** A report that a gateway may receive, in any order. */
+type Message =
+  | { readonly kind: 'end', readonly life: number, readonly call: string }
+  | { readonly kind: 'served', readonly call: string, readonly at: number }
 
-nodeTest.test('gateways that heard the same ends in another order block the same calls', () => {
+nodeTest.test('gateways that receive the same ends in a different order block the same calls', () => {
   const call = fastCheck.constantFrom('a', 'b', 'c', 'd')
-  const word: fastCheck.Arbitrary<Word> = fastCheck.record({ word: fastCheck.constant('end' as const), life: fastCheck.nat(7), call })
-  fastCheck.assert(fastCheck.property(fastCheck.array(word, { maxLength: 25 }), fastCheck.infiniteStream(fastCheck.nat()), (words, order) => {
-    const shuffled = words.map((each) => ({ each, rank: order.next().value as number })).sort((left, right) => left.rank - right.rank).map(({ each }) => each)
-    assert.deepEqual(hear(shuffled), hear(words))
+  const message: fastCheck.Arbitrary<Message> = fastCheck.record({ kind: fastCheck.constant('end' as const), life: fastCheck.nat(7), call })
+  fastCheck.assert(fastCheck.property(fastCheck.array(message, { maxLength: 25 }), fastCheck.infiniteStream(fastCheck.nat()), (messages, order) => {
+    const shuffled = messages.map((each) => ({ each, rank: order.next().value as number })).sort((left, right) => left.rank - right.rank).map(({ each }) => each)
+    assert.deepEqual(applyMessages(shuffled), applyMessages(messages))
   }), { seed: 7, numRuns: 300 })
 })
 
-function hear (words: readonly Word[]): string[] {
-  const { quarantine: record } = open()
-  for (const each of words) {
-    if (each.word === 'end') record.noteEnd({ life: types.brandId<types.BackEndLife>(`i-${each.life}`), at: each.life, calls: new Set([fingerprint(each.call)]) })
+function applyMessages (messages: readonly Message[]): string[] {
+  const { quarantine: record } = createFixture()
+  for (const each of messages) {
+    if (each.kind === 'end') record.noteEnd({ life: types.brandId<types.BackEndLife>(`i-${each.life}`), at: each.life, calls: new Set([fingerprint(each.call)]) })
     else record.noteServed(fingerprint(each.call), each.at)
   }
   return record.blocks().map(({ fingerprint: call }) => call).sort()
--- a/packages/quarantine/src/identifyCall/index.ts
+++ b/packages/quarantine/src/identifyCall/index.ts
@@ -1,31 +1,31 @@
-/** Tells whether two calls ask for the same thing. */
+/** Computes fingerprints, by which repeated sends of the same call are recognized. */
 import * as crypto from 'node:crypto'
 import * as types from '@switchridge/types'
 
-/** Names what a call asks for, and for whom; calls that are sent again have the same one. */
+/** Identifies the content of a call and its client account; it stays the same when the call is sent again. */
 export type CallFingerprint = types.Branded<'CallFingerprint'>
 
-/** What makes calls the same. Ids, deadlines and hints of a request differ each time that it is sent, and are left out. */
+/** The properties that calls must share to count as the same. Request ids, deadlines and hints are left out, since they differ each time a call is sent. */
 export interface CallIdentity {
-  /** The client account; null where a route needs no key. Not its key: an account may change that. */
+  /** The client account; null if the route needs no API key. The key itself is not used, since an account may change it. */
   readonly account: types.AccountId | null
   readonly method: string
   readonly host: string
-  /** Path with query, as sent. */
+  /** Path and query, as sent. */
   readonly path: string
   readonly body: Buffer | null
 }
 
-/** 64 bits: two of a million calls share a fingerprint by chance in one of 10^7 cases. */
+/** 64 bits: the probability that any two of a million calls collide is below 10^-7. */
 const DIGEST_CHARACTERS = 16
 const FINGERPRINT_BASE = 36
 const FINGERPRINT_PATTERN = /^[0-9a-z]{1,13}$/
 
 /**
- * Works out the fingerprint of a call. The account is part of it, so that nobody can have the calls of others taken for their own.
+ * Computes the fingerprint of a call. It includes the account, so that no client can get the calls of another one blocked.
  *
- * @param identity - What makes calls the same.
- * @returns The fingerprint: up to 13 digits and small letters.
+ * @param identity - The properties that calls must share to count as the same.
+ * @returns The fingerprint: up to 13 digits and lowercase letters.
  */
 export function identifyCall ({ account, method, host, path, body }: CallIdentity): CallFingerprint {
   const hash = crypto.createHash('sha256').update(JSON.stringify([account, method, host, path]))
@@ -34,7 +34,7 @@
   return types.brandId<CallFingerprint>(number.toString(FINGERPRINT_BASE))
 }
 
-/** Whether a value that somebody told is a fingerprint. */
+/** Whether a value received from outside this process is a valid fingerprint. */
 export function isFingerprint (value: unknown): value is CallFingerprint {
   return typeof value === 'string' && FINGERPRINT_PATTERN.test(value)
 }
--- a/packages/quarantine/src/identifyCall/test.ts
+++ b/packages/quarantine/src/identifyCall/test.ts
@@ -13,7 +13,7 @@
   for (const other of ['', 'with space', 'A', 7, null]) assert.ok(!identifyCall.isFingerprint(other))
 })
 
-nodeTest.test('another account, method, host, path, query or body is another call', () => {
+nodeTest.test('calls that differ in account, method, host, path, query or body have different fingerprints', () => {
   const others: identifyCall.CallIdentity[] = [
     CALL,
     { ...CALL, account: types.brandId<types.AccountId>('tenant-two') },
@@ -27,7 +27,7 @@
   assert.equal(new Set(others.map(identifyCall.identifyCall)).size, others.length)
 })
 
-nodeTest.test('parts that run into each other make different calls', () => {
+nodeTest.test('moving characters from the path to the body changes the fingerprint', () => {
   const text = fastCheck.string()
   fastCheck.assert(fastCheck.property(text, text, text, text, (host, path, body, moved) => {
     const one = identifyCall.identifyCall({ ...CALL, host, path: path + moved, body: Buffer.from(body) })
--- a/packages/quarantine/src/index.ts
+++ b/packages/quarantine/src/index.ts
@@ -1,6 +1,6 @@
-/** Finds calls that end the back ends that run them, and keeps them from the others. */
+/** Detects calls that crash the back ends that run them, and blocks them before they crash others. */
 export * from './createQuarantine/index.js'
 export * from './identifyCall/index.js'
 export * from './judgeEnd/index.js'
-export * from './selectBlocked/index.js'
+export * from './selectCallsToBlock/index.js'
 export * from './types/index.js'
--- a/packages/quarantine/src/judgeEnd/index.ts
+++ b/packages/quarantine/src/judgeEnd/index.ts
@@ -1,34 +1,34 @@
-/** Tells whether a lost attempt shows that its back end ended. */
+/** Classifies why an attempt was lost, above all whether its back end process ended. */
 
-/** What a gateway knows of an attempt whose answer it lost. */
+/** What a gateway knows of an attempt that ended without a complete answer. */
 export interface LostAttempt {
-  /** Whether the back end's side ended the connection. Otherwise this gateway did: the deadline was over, the caller left, nothing was heard for too long. */
+  /** Whether the connection was closed from the back end's side. Otherwise this gateway closed it: at the deadline, when the caller left, or at an idle timeout. */
   readonly isCutByPeer: boolean
-  /** Whether service discovery had told that the back end leaves, or lists it no longer. */
+  /** Whether service discovery had marked the back end as leaving or no longer lists it. */
   readonly isLeaving: boolean
-  /** What a new connection to the same address met right after. */
+  /** Result of a new connection to the same address right afterwards. */
   readonly probe: ProbeResult
 }
 
-/** `refused`: nobody listens there; `taken`: somebody does; `silent`: no answer came. */
+/** `refused`: nothing listens on the port; `taken`: the connection was accepted; `silent`: there was no response. */
 export type ProbeResult = 'refused' | 'taken' | 'silent'
 
 /**
- * `ended`: the process is gone, which counts against the calls that it took along. Everything else counts against none:
- * `lives`: only the connection was cut; `unknown`: a cut network, a frozen or dark machine; `planned`: the back end was leaving;
- * `own`: this gateway gave the attempt up.
+ * `ended`: the process has ended, which counts against the calls that were lost with it. All others count against no call:
+ * `lives`: only the connection was closed; `unknown`: a network partition, or a host that hangs or lost power; `planned`: the back end was leaving;
+ * `own`: this gateway aborted the attempt.
  */
-export type EndVerdict = 'ended' | 'lives' | 'unknown' | 'planned' | 'own'
+export type LossCause = 'ended' | 'lives' | 'unknown' | 'planned' | 'own'
 
 /**
- * Judges a lost attempt. A process that ends closes all its connections and its port at once; a cut network, a frozen
- * process and a dark machine say nothing, and a reset of connections leaves the port open. A kill looks like any other end:
- * it counts once against the calls beside it, and they have to be beside {@link QuarantineLimits.ends} of them.
+ * Classifies a lost attempt. A process that ends closes all its connections and its port at once. After a network partition, or when the process
+ * hangs or its host loses power, there is no response at all, and a reset of single connections leaves the port open. A killed process can't be told from
+ * a crashed one: it counts once against the calls it was running, and a call is blocked only after {@link QuarantineLimits.ends} of them.
  *
- * @param attempt - What is known of it.
- * @returns The verdict.
+ * @param attempt - What is known of the attempt.
+ * @returns The cause of the loss.
  */
-export function judgeEnd ({ isCutByPeer, isLeaving, probe }: LostAttempt): EndVerdict {
+export function judgeEnd ({ isCutByPeer, isLeaving, probe }: LostAttempt): LossCause {
   if (!isCutByPeer) return 'own'
   if (isLeaving) return 'planned'
   if (probe === 'silent') return 'unknown'
--- a/packages/quarantine/src/types/index.ts
+++ b/packages/quarantine/src/types/index.ts
@@ -1,39 +1,39 @@
-/** Shapes of the evidence against calls, and of what follows from it. */
+/** Types of the evidence against calls, of blocks and of their limits. */
 import type * as types from '@switchridge/types'
 import type * as identifyCall from '../identifyCall/index.js'
 
-/** The end of a back end, with the calls that it took along. */
-export interface BackEndEnd {
+/** The unexpected end of a back end process, with the calls that were lost with it. */
+export interface BackEndTermination {
   readonly life: types.BackEndLife
   /** Monotonic time in milliseconds. */
   readonly at: number
-  /** Calls that it was running or held in its queue, as far as gateways told. */
+  /** Calls that it was running or had queued, as far as gateways have reported them. */
   readonly calls: ReadonlySet<identifyCall.CallFingerprint>
 }
 
-/** A call that is refused everywhere for a while. */
+/** A call that all gateways refuse for a limited time. */
 export interface CallBlock {
   readonly fingerprint: identifyCall.CallFingerprint
-  /** How often the call was blocked so far, this time included. */
+  /** Number of times the call has been blocked, including this one. */
   readonly count: number
-  /** Monotonic time in milliseconds. */
+  /** Monotonic time in milliseconds at which the block began. */
   readonly since: number
 }
 
 /** Limits of the quarantine. */
 export interface QuarantineLimits {
-  /** Ends of back ends under a call after which it is blocked. */
+  /** Number of back ends that must have ended while running a call before it is blocked. */
   readonly ends: number
-  /** Milliseconds for which an end counts against the calls that it took along. */
+  /** Milliseconds for which the end of a back end counts against the calls that were lost with it. */
   readonly evidenceMs: number
-  /** Milliseconds of a call's first block; each later one lasts {@link BLOCK_FACTOR} times longer. */
+  /** Milliseconds of a call's first block; each later one lasts {@link BLOCK_FACTOR} times as long. */
   readonly blockMs: number
-  /** No block is longer, in milliseconds. */
+  /** Longest block, in milliseconds. */
   readonly maximumBlockMs: number
-  /** Ends that are remembered, and blocks; the oldest ones give way. */
+  /** Maximum number of ends and of blocks that are stored; the oldest ones are removed first. */
   readonly maximumEnds: number
   readonly maximumBlocks: number
 }
 
-/** Ten minutes, forty, two hours and forty minutes and so on: a call that stays lethal costs some ten engines in the first month. */
+/** Blocks of ten minutes, forty minutes, two hours and forty minutes and so on: a call that keeps crashing back ends costs some ten engines in the first month. */
 export const BLOCK_FACTOR = 4
