--- a/packages/command-line/src/_lib/prepareEdit.ts
+++ b/packages/command-line/src/_lib/prepareEdit.ts
@@ -24,10 +24,10 @@
 }
 
 /** Counts what nodes would have to fetch that they do not hold. */
-export function computeCost (table: types.Table, members: readonly membership.Member[]): EditCost {
-  const holding = new Map(members.map((member) => [member.facts.node, new Set([...member.facts.holding, ...member.facts.serving.map((served) => served.manifest)])]))
+export function computeEditCost (table: types.Table, members: readonly membership.Member[]): EditCost {
+  const heldManifests = new Map(members.map((member) => [member.facts.node, new Set([...member.facts.holding, ...member.facts.serving.map((served) => served.manifest)])]))
   const moves = placement.computePlacement(table, members).assignments
-    .filter((assignment) => holding.get(assignment.node)?.has(assignment.row.manifest) !== true)
+    .filter((assignment) => heldManifests.get(assignment.node)?.has(assignment.row.manifest) !== true)
   const movedRows = [...new Set(moves.map((move) => move.row))]
   const originCopies = movedRows.filter((row) => !members.some((member) => member.facts.holding.includes(row.manifest))).length
   return {
--- a/packages/command-line/src/auditCommand/index.ts
+++ b/packages/command-line/src/auditCommand/index.ts
@@ -13,7 +13,7 @@
   readonly follow: boolean
 }
 
-const FOLLOW_PAUSE_MS = 1000
+const FOLLOW_INTERVAL_MS = 1000
 
 /** Adds the command. */
 export function addAuditCommand (parser: yargs.Argv): yargs.Argv {
@@ -25,28 +25,28 @@
 }
 
 async function showAudit (options: AuditArguments): Promise<void> {
-  const open = connections.connect(options)
-  if (open.store === null) report.reportError(new types.UnavailableError('no --platform given'))
-  else await follow(options, open.store)
-  open.close()
+  const connection = connections.connect(options)
+  if (connection.store === null) report.reportError(new types.UnavailableError('no --platform given'))
+  else await printEntries(options, connection.store)
+  connection.close()
 }
 
-async function follow (options: AuditArguments, store: platform.ObjectStore): Promise<void> {
+async function printEntries (options: AuditArguments, store: platform.ObjectStore): Promise<void> {
   for (let next = options.from; ;) {
     const entries = await tables.readAudit(store, next)
     if (!entries.ok && !options.follow) {
       report.reportError(entries.error)
       return
     }
-    const read = entries.ok ? entries.value : []
-    for (const entry of read.filter((each) => isWanted(each, options))) printEntry(entry, options.json)
-    next = Math.max(next, (read.at(-1)?.revision ?? 0) + 1)
+    const newEntries = entries.ok ? entries.value : []
+    for (const entry of newEntries.filter((each) => matchesFilters(each, options))) printEntry(entry, options.json)
+    next = Math.max(next, (newEntries.at(-1)?.revision ?? 0) + 1)
     if (!options.follow) return
-    await types.delay(FOLLOW_PAUSE_MS)
+    await types.delay(FOLLOW_INTERVAL_MS)
   }
 }
 
-function isWanted (entry: types.AuditEntry, options: AuditArguments): boolean {
+function matchesFilters (entry: types.AuditEntry, options: AuditArguments): boolean {
   if (options.editor !== undefined && entry.editor !== options.editor) return false
   if (options.row === undefined) return true
   const place = tables.parseRowPlace(options.row)
--- a/packages/command-line/src/demoCommand/callFleet.ts
+++ b/packages/command-line/src/demoCommand/callFleet.ts
@@ -33,7 +33,7 @@
   readonly row: string
   /** Bytes of every version that may answer, by its name. */
   readonly weights: ReadonlyMap<string, Buffer>
-  readonly pauseMs: number
+  readonly intervalMs: number
 }
 
 const TOKENS = 12
@@ -44,9 +44,9 @@
   const counts: CallCounts = { answered: 0, notRun: 0, unknown: 0, broken: 0, wrong: 0, versions: {}, reservations: [], refusedReservations: [] }
   const engineService = options.fleet.backends.find((node) => node.kind === 'engine')?.service ?? ''
   const plainService = options.fleet.backends.find((node) => node.kind === 'plain')?.service ?? ''
-  const stop = new AbortController()
+  const stopController = new AbortController()
 
-  async function send (entry: launcher.FleetNode, path: string, json: object, id: string): Promise<got.Response<string> | null> {
+  async function sendCall (entry: launcher.FleetNode, path: string, json: object, id: string): Promise<got.Response<string> | null> {
     try {
       return await got.got.post(`http://${entry.address.host}:${entry.callerPort}${path}`, {
         json,
@@ -60,7 +60,7 @@
     }
   }
 
-  function countOutcome (response: got.Response<string> | null): boolean {
+  function countUnlessAnswered (response: got.Response<string> | null): boolean {
     const outcome = response?.headers['x-switchridge-outcome']
     if (response === null) counts.broken += 1
     else if (outcome === 'answered' && response.statusCode === 200) return true
@@ -69,41 +69,41 @@
     return false
   }
 
-  async function askModel (entry: launcher.FleetNode): Promise<void> {
+  async function callModel (entry: launcher.FleetNode): Promise<void> {
     const prompt = crypto.randomUUID()
-    const response = await send(entry, `/services/${engineService}/models/${options.row}/generate`, { prompt, tokens: TOKENS }, crypto.randomUUID())
-    if (!countOutcome(response) || response === null) return
+    const response = await sendCall(entry, `/services/${engineService}/models/${options.row}/generate`, { prompt, tokens: TOKENS }, crypto.randomUUID())
+    if (!countUnlessAnswered(response) || response === null) return
     const version = String(response.headers['x-switchridge-version'] ?? '')
     const weights = options.weights.get(version)
     const tokens = response.body.split('\n').filter((line) => line.includes('"token"')).map((line) => (JSON.parse(line) as { token: string }).token)
-    const isRight = weights !== undefined && JSON.stringify(tokens) === JSON.stringify(standins.computeAnswer(weights, prompt, TOKENS))
+    const isCorrect = weights !== undefined && JSON.stringify(tokens) === JSON.stringify(standins.computeAnswer(weights, prompt, TOKENS))
     counts.answered += 1
     counts.versions[version] = (counts.versions[version] ?? 0) + 1
-    if (!isRight) counts.wrong += 1
+    if (!isCorrect) counts.wrong += 1
   }
 
   async function reserve (entry: launcher.FleetNode): Promise<void> {
     const id = crypto.randomUUID()
     counts.reservations.push(id)
-    const response = await send(entry, `/services/${plainService}/reservations`, { pallet: id }, id)
+    const response = await sendCall(entry, `/services/${plainService}/reservations`, { pallet: id }, id)
     if (response?.headers['x-switchridge-outcome'] === 'not-run') counts.refusedReservations.push(id)
-    if (!countOutcome(response) || response === null) return
+    if (!countUnlessAnswered(response) || response === null) return
     counts.answered += 1
     if ((JSON.parse(response.body) as { id: string }).id !== id) counts.wrong += 1
   }
 
   async function repeat (entry: launcher.FleetNode, call: (entry: launcher.FleetNode) => Promise<void>): Promise<void> {
-    while (!stop.signal.aborted) {
+    while (!stopController.signal.aborted) {
       await call(entry)
-      await types.delay(options.pauseMs)
+      await types.delay(options.intervalMs)
     }
   }
 
-  const loops = options.fleet.entryNodes.flatMap((entry) => [repeat(entry, askModel), repeat(entry, reserve)])
+  const loops = options.fleet.entryNodes.flatMap((entry) => [repeat(entry, callModel), repeat(entry, reserve)])
   return {
     counts,
     stop: async () => {
-      stop.abort()
+      stopController.abort()
       await Promise.all(loops)
     }
   }
--- a/packages/command-line/src/demoCommand/index.ts
+++ b/packages/command-line/src/demoCommand/index.ts
@@ -12,7 +12,7 @@
     .option('plain', { type: 'boolean', default: false, describe: 'plain lines instead of progress bars' })
     .option('logs', { type: 'string', describe: 'folder in which settings and logs of all processes are kept' })
     .option('json', { type: 'boolean', default: false, describe: 'print the summary as JSON' }), async (options) => {
-    const isKept = await runDemo.runDemo(options)
-    process.exit(isKept ? exitCodes.EXIT_OK : exitCodes.EXIT_FAILED)
+    const hasPassed = await runDemo.runDemo(options)
+    process.exit(hasPassed ? exitCodes.EXIT_OK : exitCodes.EXIT_FAILED)
   })
 }
--- a/packages/command-line/src/demoCommand/runDemo.ts
+++ b/packages/command-line/src/demoCommand/runDemo.ts
@@ -42,18 +42,18 @@
 const TRANSFER_SECONDS = 10
 const ORIGIN_COPIES_PER_TRANSFER = 4
 const LINK_COPIES_PER_TRANSFER = 2
-const ALLOWED_COPIES = 4
+const MAX_ORIGIN_COPIES = 4
 const VERSION_TIMEOUT_MS = 45_000
-const CALLER_PAUSE_MS = 60
+const CALL_INTERVAL_MS = 60
 const POLL_MS = 100
 const SETTLE_MS = 500
-const MAIN = path.join(path.dirname(url.fileURLToPath(import.meta.url)), '../main.js')
+const COMMAND_MODULE = path.join(path.dirname(url.fileURLToPath(import.meta.url)), '../main.js')
 
 /** Runs the demo; true if every promise was kept. */
 export async function runDemo (options: DemoOptions): Promise<boolean> {
   const processes = launcher.createLauncher(options.logs)
   try {
-    const summary = await tellStory(options, processes)
+    const summary = await runScenario(options, processes)
     printSummary(summary, options.json)
     return summary.promisesKept
   } finally {
@@ -61,10 +61,10 @@
   }
 }
 
-async function tellStory (options: DemoOptions, processes: launcher.Launcher): Promise<Summary> {
+async function runScenario (options: DemoOptions, processes: launcher.Launcher): Promise<Summary> {
   const plan = launcher.describeFleet(options.deployment)
   const bytes = options.mebibytes * types.BYTES_IN_MEBIBYTE
-  const say = (line: string): void => { if (!options.json) process.stdout.write(line + '\n') }
+  const printLine = (line: string): void => { if (!options.json) process.stdout.write(line + '\n') }
   const fleet = await launcher.startFleet(processes, {
     plan,
     originBytesPerSecond: Math.round(ORIGIN_COPIES_PER_TRANSFER * bytes / TRANSFER_SECONDS),
@@ -76,22 +76,22 @@
     chunkMemoryBytes: 4 * bytes,
     engineMemoryBytes: 4 * bytes
   })
-  say(`${plan.deployment}: ${fleet.entryNodes.length} entry nodes and ${fleet.backends.length} backend servers in ${plan.halls.length} data halls`)
-  const parts = createVersions(bytes)
-  const weights = new Map([...parts].map(([version, each]) => [`${ROW}@${version}`, standins.computeWeights(each)]))
-  for (const [version, each] of parts) await publish(fleet, `weights/${ROW}-${version}`, each)
+  printLine(`${plan.deployment}: ${fleet.entryNodes.length} entry nodes and ${fleet.backends.length} backend servers in ${plan.halls.length} data halls`)
+  const partsByVersion = createVersions(bytes)
+  const weights = new Map([...partsByVersion].map(([version, each]) => [`${ROW}@${version}`, standins.computeWeights(each)]))
+  for (const [version, each] of partsByVersion) await publish(fleet, `weights/${ROW}-${version}`, each)
   const table = (args: readonly string[]): Promise<void> => runTable(processes, fleet, plan.deployment, args)
-  await table(['import', writeFirstTable(processes.folder, plan)])
-  await launcher.waitUntil(async () => await areHealthy(fleet), VERSION_TIMEOUT_MS, 'healthy entry nodes')
+  await table(['import', writeInitialTable(processes.folder, plan)])
+  await launcher.waitUntil(async () => await areEntryNodesHealthy(fleet), VERSION_TIMEOUT_MS, 'healthy entry nodes')
 
-  const callers = callFleet.startCallers({ fleet, apiKey: API_KEY, row: ROW, weights, pauseMs: CALLER_PAUSE_MS })
+  const callers = callFleet.startCallers({ fleet, apiKey: API_KEY, row: ROW, weights, intervalMs: CALL_INTERVAL_MS })
   const replicas = fleet.backends.filter((node) => node.kind === 'engine').length
   const results: VersionResult[] = []
-  for (const version of parts.keys()) {
-    const settings = [`version=${version}`, `source=weights/${ROW}-${version}`]
-    const first = version === '1' ? [`service=${plan.services[0]?.name ?? ''}`, `originBytesPerSecond=${Math.round(ORIGIN_COPIES_PER_TRANSFER * bytes / TRANSFER_SECONDS)}`, `originCopies=${ALLOWED_COPIES}`, `favour=${plan.favour}`, 'minimumServing=4'] : []
+  for (const version of partsByVersion.keys()) {
+    const versionCells = [`version=${version}`, `source=weights/${ROW}-${version}`]
+    const firstVersionCells = version === '1' ? [`service=${plan.services[0]?.name ?? ''}`, `originBytesPerSecond=${Math.round(ORIGIN_COPIES_PER_TRANSFER * bytes / TRANSFER_SECONDS)}`, `originCopies=${MAX_ORIGIN_COPIES}`, `favour=${plan.favour}`, 'minimumServing=4'] : []
     const display = showProgress.createProgressDisplay(`version ${version}`, replicas, options.plain || options.json || !process.stdout.isTTY)
-    results.push(await rollOut(fleet, { version, replicas, bytes, display: options.json ? null : display, edit: async () => { await table(['set', `model/${ROW}`, ...settings, ...first]) } }))
+    results.push(await rollOut(fleet, { version, replicas, bytes, display: options.json ? null : display, edit: async () => { await table(['set', `model/${ROW}`, ...versionCells, ...firstVersionCells]) } }))
     display.stop()
   }
   await types.delay(SETTLE_MS)
@@ -112,7 +112,7 @@
   await got.got.post(`${fleet.originUrl}/admin/files`, { json: { name, parts, chunkBytes: CHUNK_BYTES } })
 }
 
-function writeFirstTable (folder: string, plan: launcher.FleetPlan): string {
+function writeInitialTable (folder: string, plan: launcher.FleetPlan): string {
   const keyDigest = crypto.createHash('sha256').update(API_KEY).digest('hex')
   const services = plan.services.map((service) => `service,${service.name},${service.kind},${service.kind === 'engine' ? 'all' : 'reads'},`)
   const file = path.join(folder, 'table.csv')
@@ -122,7 +122,7 @@
 
 async function runTable (processes: launcher.Launcher, fleet: launcher.Fleet, deployment: string, args: readonly string[]): Promise<void> {
   const entry = fleet.entryNodes[0]?.address
-  const result = await processes.run(MAIN, ['table', ...args], {
+  const result = await processes.run(COMMAND_MODULE, ['table', ...args], {
     SWITCHRIDGE_PLATFORM: fleet.platformUrl,
     SWITCHRIDGE_ORIGIN: fleet.originUrl,
     SWITCHRIDGE_ENTRY: `${entry?.host ?? ''}:${entry?.port ?? 0}`,
@@ -130,15 +130,15 @@
     SWITCHRIDGE_SHARED_KEY: fleet.sharedKey,
     SWITCHRIDGE_OPERATOR: 'demo'
   })
-  if (result.exitCode !== 0) throw new Error(`switchridge table ${args.join(' ')}: ${result.errors}`)
+  if (result.exitCode !== 0) throw new Error(`switchridge table ${args.join(' ')}: ${result.stderr}`)
 }
 
-async function areHealthy (fleet: launcher.Fleet): Promise<boolean> {
+async function areEntryNodesHealthy (fleet: launcher.Fleet): Promise<boolean> {
   const answers = await Promise.all(fleet.entryNodes.map(async (entry) => await got.got(`http://${entry.address.host}:${entry.callerPort}/health`, { throwHttpErrors: false, retry: { limit: 0 } })))
   return answers.every((answer) => answer.statusCode === 200)
 }
 
-interface RollOut {
+interface Rollout {
   readonly version: string
   readonly replicas: number
   readonly bytes: number
@@ -146,21 +146,21 @@
   readonly edit: () => Promise<void>
 }
 
-async function rollOut (fleet: launcher.Fleet, step: RollOut): Promise<VersionResult> {
+async function rollOut (fleet: launcher.Fleet, rollout: Rollout): Promise<VersionResult> {
   const before = await readOriginBytes(fleet)
-  await step.edit()
+  await rollout.edit()
   const startedAt = performance.now()
   const measure = async (): Promise<VersionResult> => {
     const originBytes = await readOriginBytes(fleet) - before
     const seconds = (performance.now() - startedAt) / types.MILLISECONDS_IN_SECOND
-    return { version: step.version, seconds, originBytes, originCopies: originBytes / step.bytes }
+    return { version: rollout.version, seconds, originBytes, originCopies: originBytes / rollout.bytes }
   }
   for (;;) {
-    const serving = await countServing(fleet, step.version)
+    const serving = await countServing(fleet, rollout.version)
     const result = await measure()
-    step.display?.update(serving, `${result.originCopies.toFixed(2)} copies from the origin`)
-    if (serving === step.replicas) return result
-    if (result.seconds * types.MILLISECONDS_IN_SECOND > VERSION_TIMEOUT_MS) throw new Error(`version ${step.version} serves on ${serving} of ${step.replicas} replicas only`)
+    rollout.display?.update(serving, `${result.originCopies.toFixed(2)} copies from the origin`)
+    if (serving === rollout.replicas) return result
+    if (result.seconds * types.MILLISECONDS_IN_SECOND > VERSION_TIMEOUT_MS) throw new Error(`version ${rollout.version} serves on ${serving} of ${rollout.replicas} replicas only`)
     await types.delay(POLL_MS)
   }
 }
@@ -177,14 +177,14 @@
 async function summarise (options: DemoOptions, fleet: launcher.Fleet, replicas: number, versions: readonly VersionResult[], counts: callFleet.CallCounts): Promise<Summary> {
   const runs = new Map<string, number>()
   for (const node of fleet.backends.filter((each) => each.kind === 'plain')) {
-    const seen = await got.got(`${node.backEndUrl}/admin/counts`).json<{ runs: Record<string, number> }>()
-    for (const [id, count] of Object.entries(seen.runs)) runs.set(id, (runs.get(id) ?? 0) + count)
+    const serviceCounts = await got.got(`${node.backEndUrl}/admin/counts`).json<{ runs: Record<string, number> }>()
+    for (const [id, count] of Object.entries(serviceCounts.runs)) runs.set(id, (runs.get(id) ?? 0) + count)
   }
   const reservationsRunTwice = counts.reservations.filter((id) => (runs.get(id) ?? 0) > 1).length
   const refusedButRun = counts.refusedReservations.filter((id) => runs.has(id)).length
-  const isWithinAllowance = versions.every((version) => version.originCopies <= ALLOWED_COPIES)
-  const { reservations: _reservations, refusedReservations: _refused, ...calls } = counts
-  const promisesKept = counts.wrong === 0 && counts.broken === 0 && reservationsRunTwice === 0 && refusedButRun === 0 && isWithinAllowance && counts.answered > 0
+  const isWithinOriginLimit = versions.every((version) => version.originCopies <= MAX_ORIGIN_COPIES)
+  const { reservations: _reservations, refusedReservations: _refusedReservations, ...calls } = counts
+  const promisesKept = counts.wrong === 0 && counts.broken === 0 && reservationsRunTwice === 0 && refusedButRun === 0 && isWithinOriginLimit && counts.answered > 0
   return { deployment: options.deployment, replicas, versions, calls, reservationsRunTwice, refusedButRun, promisesKept }
 }
 
@@ -195,7 +195,7 @@
   }
   const lines = [
     '',
-    ...summary.versions.map((each) => `version ${each.version}: ${each.seconds.toFixed(1)} s until ${summary.replicas} replicas serve, ${each.originBytes} bytes from the origin (${each.originCopies.toFixed(2)} copies, ${ALLOWED_COPIES} allowed)`),
+    ...summary.versions.map((each) => `version ${each.version}: ${each.seconds.toFixed(1)} s until ${summary.replicas} replicas serve, ${each.originBytes} bytes from the origin (${each.originCopies.toFixed(2)} copies, ${MAX_ORIGIN_COPIES} allowed)`),
     `calls: ${summary.calls.answered} answered, ${summary.calls.notRun} refused as not run, ${summary.calls.unknown} unknown, ${summary.calls.broken} cut, ${summary.calls.wrong} wrong`,
     `versions seen: ${Object.entries(summary.calls.versions).map(([version, count]) => `${version} in ${count} answers`).join(', ')}`,
     `reservations run twice: ${summary.reservationsRunTwice}; refused as not run and run all the same: ${summary.refusedButRun}`,
--- a/packages/command-line/src/demoCommand/showProgress.ts
+++ b/packages/command-line/src/demoCommand/showProgress.ts
@@ -19,11 +19,11 @@
 }
 
 function createLines (title: string, replicas: number): ProgressDisplay {
-  let last = -1
+  let lastServing = -1
   return {
     update: (serving, note) => {
-      if (serving === last) return
-      last = serving
+      if (serving === lastServing) return
+      lastServing = serving
       process.stdout.write(`${title}: ${serving}/${replicas} replicas serving  ${note}\n`)
     },
     stop: () => {}
--- a/packages/command-line/src/planCommand/index.ts
+++ b/packages/command-line/src/planCommand/index.ts
@@ -14,10 +14,10 @@
 }
 
 async function showPlan (options: connections.ConnectionArguments): Promise<void> {
-  const open = connections.connect(options)
-  const status = await open.readStatus()
-  const stored = open.store === null ? types.fail(new types.UnavailableError('no --platform given')) : await tables.readTable(open.store)
-  open.close()
+  const connection = connections.connect(options)
+  const status = await connection.readStatus()
+  const stored = connection.store === null ? types.fail(new types.UnavailableError('no --platform given')) : await tables.readTable(connection.store)
+  connection.close()
   if (!status.ok || !stored.ok) {
     report.reportError(!status.ok ? status.error : (stored as { error: Error }).error)
     return
--- a/packages/command-line/src/statusCommand/index.ts
+++ b/packages/command-line/src/statusCommand/index.ts
@@ -10,9 +10,9 @@
 }
 
 async function showStatus (options: connections.ConnectionArguments): Promise<void> {
-  const open = connections.connect(options)
-  const status = await open.readStatus()
-  open.close()
+  const connection = connections.connect(options)
+  const status = await connection.readStatus()
+  connection.close()
   if (!status.ok) {
     report.reportError(status.error)
     return
@@ -21,7 +21,7 @@
     report.print(JSON.stringify(status.value))
     return
   }
-  const newest = Math.max(...status.value.members.map((member) => member.facts.revision))
+  const newestRevision = Math.max(...status.value.members.map((member) => member.facts.revision))
   const rows = [...status.value.members]
     .sort((left, right) => left.facts.node < right.facts.node ? -1 : 1)
     .map(({ facts, condition, leaving }) => [
@@ -29,7 +29,7 @@
       facts.dataHall,
       facts.role,
       leaving ? 'leaving' : condition,
-      `${facts.revision}${facts.revision < newest ? ` (${newest - facts.revision} behind)` : ''}`,
+      `${facts.revision}${facts.revision < newestRevision ? ` (${newestRevision - facts.revision} behind)` : ''}`,
       facts.serving.map((served) => `${served.row}@${served.version}`).join(' ') || '-',
       facts.waitingFor || '-'
     ])
--- a/packages/command-line/src/tableCommands/index.ts
+++ b/packages/command-line/src/tableCommands/index.ts
@@ -24,7 +24,7 @@
 /** Adds the command. */
 export function addTableCommands (parser: yargs.Argv): yargs.Argv {
   return parser.command('table', 'show and edit the table', (command) => connections.addConnectionOptions(command)
-    .command('show', 'print the table', {}, async (options) => { await show(options as unknown as connections.ConnectionArguments) })
+    .command('show', 'print the table', {}, async (options) => { await showTable(options as unknown as connections.ConnectionArguments) })
     .command('export', 'print the table as CSV', {}, async (options) => { await exportTable(options as unknown as connections.ConnectionArguments) })
     .command('set <row> <cells..>', 'set cells of a row, adding the row if it is new', (sub) => addEditOptions(sub)
       .positional('row', { type: 'string', describe: 'model/ID, service/ID, account/ID or node/ID' })
@@ -32,17 +32,17 @@
       .example('$0 table set model/asistent version=2 source=weights/asistent-2', 'change a version'),
     async (options) => {
       const { row, cells } = options as unknown as { row: string, cells: string[] }
-      await edit(options as unknown as EditArguments, async (table) => await makeCellChanges(table, row, cells, options['origin'] as string | undefined))
+      await editTable(options as unknown as EditArguments, async (table) => await makeCellChanges(table, row, cells, options['origin'] as string | undefined))
     })
     .command('unset <row>', 'remove a row', (sub) => addEditOptions(sub).positional('row', { type: 'string' }), async (options) => {
-      await edit(options as unknown as EditArguments, () => makeRemoval((options as unknown as { row: string }).row))
+      await editTable(options as unknown as EditArguments, () => makeRemoval((options as unknown as { row: string }).row))
     })
     .command('import <file>', 'make the table like a CSV file', (sub) => addEditOptions(sub).positional('file', { type: 'string' }), async (options) => {
       const { file } = options as unknown as { file: string }
-      await edit(options as unknown as EditArguments, (table) => tables.parseCsv(fs.readFileSync(file, 'utf8'), table))
+      await editTable(options as unknown as EditArguments, (table) => tables.parseCsv(fs.readFileSync(file, 'utf8'), table))
     })
     .command('check <file>', 'check a CSV file without changing anything', (sub) => sub.positional('file', { type: 'string' }), (options) => {
-      check((options as unknown as { file: string }).file)
+      checkFile((options as unknown as { file: string }).file)
     })
     .demandCommand(1))
 }
@@ -55,19 +55,19 @@
     .option('audit-keep', { type: 'number', default: 100_000, describe: 'audit entries to keep' })
 }
 
-async function withTable (options: connections.ConnectionArguments, use: (table: types.Table, open: connections.Connections, store: platform.ObjectStore) => Promise<void>): Promise<void> {
-  const open = connections.connect(options)
-  if (open.store === null) {
+async function withTable (options: connections.ConnectionArguments, callback: (table: types.Table, connection: connections.Connections, store: platform.ObjectStore) => Promise<void>): Promise<void> {
+  const connection = connections.connect(options)
+  if (connection.store === null) {
     report.reportError(new types.InvalidInputError('arguments', [{ place: '--platform', given: 'nothing', allowed: 'the URL of the platform' }]))
     return
   }
-  const stored = await tables.readTable(open.store)
-  if (stored.ok) await use(stored.value.table, open, open.store)
+  const stored = await tables.readTable(connection.store)
+  if (stored.ok) await callback(stored.value.table, connection, connection.store)
   else report.reportError(stored.error)
-  open.close()
+  connection.close()
 }
 
-async function show (options: connections.ConnectionArguments): Promise<void> {
+async function showTable (options: connections.ConnectionArguments): Promise<void> {
   await withTable(options, async (table) => {
     if (options.json) {
       report.print(JSON.stringify(table))
@@ -75,7 +75,7 @@
     }
     report.print(`revision ${table.revision}`)
     for (const section of ['services', 'accounts', 'models', 'nodes'] as const) {
-      const rows = table[section].map((row) => Object.values(row).map((cell) => cell === null ? '' : shorten(String(cell))))
+      const rows = table[section].map((row) => Object.values(row).map((cell) => cell === null ? '' : truncateCell(String(cell))))
       if (rows.length === 0) continue
       report.print(`\n${section}`)
       report.printColumns(Object.keys(table[section][0] ?? {}), rows)
@@ -83,17 +83,17 @@
   })
 }
 
-const SHOWN_CELL = 24
+const MAX_CELL_LENGTH = 24
 
-function shorten (cell: string): string {
-  return cell.length <= SHOWN_CELL ? cell : `${cell.slice(0, SHOWN_CELL - 1)}~`
+function truncateCell (cell: string): string {
+  return cell.length <= MAX_CELL_LENGTH ? cell : `${cell.slice(0, MAX_CELL_LENGTH - 1)}~`
 }
 
 async function exportTable (options: connections.ConnectionArguments): Promise<void> {
   await withTable(options, async (table) => { process.stdout.write(tables.formatCsv(table)) })
 }
 
-function check (file: string): void {
+function checkFile (file: string): void {
   const changes = tables.parseCsv(fs.readFileSync(file, 'utf8'), types.EMPTY_TABLE)
   if (changes.ok) report.print(`${file}: ok`)
   else report.reportError(changes.error)
@@ -128,8 +128,8 @@
   return place.ok ? types.succeed([tables.removeRow(place.value)]) : place
 }
 
-async function edit (options: EditArguments, makeChanges: MakeChanges): Promise<void> {
-  await withTable(options, async (table, open, store) => {
+async function editTable (options: EditArguments, makeChanges: MakeChanges): Promise<void> {
+  await withTable(options, async (table, connection, store) => {
     const changes = await makeChanges(table)
     if (!changes.ok) {
       report.reportError(changes.error)
@@ -139,10 +139,10 @@
       report.print('nothing to change')
       return
     }
-    const status = await open.readStatus()
+    const status = await connection.readStatus()
     const members = status.ok ? status.value.members : null
     if (options.dryRun) await showCost(table, changes.value, members ?? [])
-    else await write(options, store, changes.value, status)
+    else await writeEdit(options, store, changes.value, status)
   })
 }
 
@@ -152,12 +152,12 @@
     report.reportError(applied.error)
     return
   }
-  const cost = prepareEdit.computeCost(applied.value, members)
+  const cost = prepareEdit.computeEditCost(applied.value, members)
   report.print(`${changes.length} cells would change; ${cost.copies} copies and ${cost.bytes} bytes would move, ${cost.originCopies} copies of them from the origin`)
   for (const move of cost.moves) report.print(`  ${move.row} -> ${move.node}: ${move.reason}`)
 }
 
-async function write (options: EditArguments, store: platform.ObjectStore, changes: readonly types.CellChange[], status: types.Outcome<connections.StatusReport, Error>): Promise<void> {
+async function writeEdit (options: EditArguments, store: platform.ObjectStore, changes: readonly types.CellChange[], status: types.Outcome<connections.StatusReport, Error>): Promise<void> {
   const editId = types.brandId<types.EditId>(options.editId ?? crypto.randomUUID())
   const written = await tables.editTable(store, { editId, editor: options.operator, changes }, {
     auditKeep: options.auditKeep,
--- a/packages/fuzz/src/_lib/callFleet.ts
+++ b/packages/fuzz/src/_lib/callFleet.ts
@@ -29,12 +29,12 @@
   readonly entryNodes: number
   readonly backends: number
   /** Milliseconds after which the connection of the next attempt breaks; null for none. */
-  readonly nextBreak: () => number | null
+  readonly nextBreakMs: () => number | null
   /** Resolves a ticket; mutants stand in for it. */
   readonly createTickets: () => routing.Tickets
 }
 
-interface Backend {
+interface BackendDaemon {
   facts: types.MemberFacts
   admission: routing.Admission
   listener: rpc.HttpListener
@@ -57,19 +57,19 @@
   const runs = new Map<string, number>()
   const agents = rpc.createHttpAgents()
   const client = rpc.createRpcClient(IDENTITY, agents)
-  const backEnd = await rpc.listenHttp(createBackEnd(runs), { host: HOST, port: 0 })
+  const backEnd = await rpc.listenHttp(createBackEndHandler(runs), { host: HOST, port: 0 })
   const backEndUrl = `http://${HOST}:${backEnd.address.port}`
-  const lives = { count: 0 }
+  const incarnations = { count: 0 }
   const store = platform.createMemoryObjectStore()
-  const openBackend = async (index: number): Promise<Backend> => await createBackend(index, ++lives.count, backEndUrl, agents, options)
-  const backends = await Promise.all(Array.from({ length: options.backends }, async (_, index) => await openBackend(index)))
-  const entryNodes = await Promise.all(Array.from({ length: options.entryNodes }, async (_, index) => await createEntry(index, backends, agents, client, store, options)))
+  const startBackend = async (index: number): Promise<BackendDaemon> => await startBackendDaemon(index, ++incarnations.count, backEndUrl, agents, options)
+  const backends = await Promise.all(Array.from({ length: options.backends }, async (_, index) => await startBackend(index)))
+  const entryNodes = await Promise.all(Array.from({ length: options.entryNodes }, async (_, index) => await startEntryNode(index, backends, agents, client, store, options)))
   return {
     entryUrls: entryNodes.map(({ address }) => `http://${address.host}:${address.port}`),
     runs,
     restart: async (index) => {
       backends[index]?.listener.abort()
-      backends[index] = await openBackend(index)
+      backends[index] = await startBackend(index)
     },
     leave: (index) => { backends[index]?.admission.leave() },
     close: async () => {
@@ -79,7 +79,7 @@
   }
 }
 
-function createBackEnd (runs: Map<string, number>): http.RequestListener {
+function createBackEndHandler (runs: Map<string, number>): http.RequestListener {
   return (request, response) => {
     const id = String(request.headers['x-request-id'])
     const behaviour = request.headers['x-fuzz'] as Behaviour
@@ -100,12 +100,12 @@
 }
 
 /** Back ends of the fuzz break connections, and none ends. */
-const NO_GUARD: daemon.EntryGuard = { isActive: () => false, findBlock: () => null, noteServed: () => {}, onBlocked: () => {}, noteLost: async () => {} }
+const INACTIVE_GUARD: daemon.EntryGuard = { isActive: () => false, findBlock: () => null, noteServed: () => {}, onBlocked: () => {}, noteLost: async () => {} }
 const steadyClock = clock.createSteadyClock()
-const at = clock.createDeadlines(steadyClock)
+const scheduleAt = clock.createDeadlines(steadyClock)
 
-async function createBackend (index: number, life: number, url: string, agents: rpc.HttpAgents, options: CallFleetOptions): Promise<Backend> {
-  const incarnation = types.brandId<types.IncarnationId>(`life-${life}`)
+async function startBackendDaemon (index: number, incarnationNumber: number, url: string, agents: rpc.HttpAgents, options: CallFleetOptions): Promise<BackendDaemon> {
+  const incarnation = types.brandId<types.IncarnationId>(`life-${incarnationNumber}`)
   const admission = routing.createAdmission(SLOTS, 1)
   const tickets = options.createTickets()
   const app = new Koa()
@@ -123,13 +123,13 @@
     uplink: transfer.createLinkPacer(0, () => 0),
     count: () => {},
     onRefused: () => {},
-    after: (milliseconds, action) => at(steadyClock.now() + milliseconds, action),
+    after: (milliseconds, action) => scheduleAt(steadyClock.now() + milliseconds, action),
     onAnswer: () => {}
   }))
   app.use(rpc.createRpcServer(IDENTITY, {
     ticket: (params) => {
-      const asked = params as { ticket: types.TicketId, incarnation: string }
-      return asked.incarnation === incarnation ? tickets.resolve(asked.ticket) : 'unknown'
+      const request = params as { ticket: types.TicketId, incarnation: string }
+      return request.incarnation === incarnation ? tickets.resolve(request.ticket) : 'unknown'
     }
   }))
   const listener = await rpc.listenHttp(app.callback(), { host: HOST, port: 0 })
@@ -137,7 +137,7 @@
   return { facts, admission, listener }
 }
 
-async function createEntry (index: number, backends: readonly Backend[], agents: rpc.HttpAgents, client: rpc.RpcClient, store: platform.ObjectStore, options: CallFleetOptions): Promise<rpc.HttpListener> {
+async function startEntryNode (index: number, backends: readonly BackendDaemon[], agents: rpc.HttpAgents, client: rpc.RpcClient, store: platform.ObjectStore, options: CallFleetOptions): Promise<rpc.HttpListener> {
   const { now } = steadyClock
   const loads = routing.createBackendLoads()
   const health = routing.createBackendHealth(now)
@@ -158,15 +158,15 @@
     limiter: routing.createAccountLimiter(now, () => 1),
     claims: daemon.createClaims(store, Date.now),
     send: async (call, backend, signal) => {
-      const breakAt = options.nextBreak()
-      const broken = breakAt === null ? signal : AbortSignal.any([signal, AbortSignal.timeout(breakAt)])
-      return await daemon.sendAttempt(call, backend, { self: types.brandId<types.NodeId>(`entry-${index}`), identity: IDENTITY, agents, client, now, signal: broken })
+      const breakAfterMs = options.nextBreakMs()
+      const breakableSignal = breakAfterMs === null ? signal : AbortSignal.any([signal, AbortSignal.timeout(breakAfterMs)])
+      return await daemon.sendAttempt(call, backend, { self: types.brandId<types.NodeId>(`entry-${index}`), identity: IDENTITY, agents, client, now, signal: breakableSignal })
     },
     logger: observability.createLogger('fuzz-calls', {}, { level: 'silent' }),
     metrics: observability.createMetrics({ host: HOST, port: 8125, tags: {}, enabled: false }),
     now,
-    at,
-    guard: NO_GUARD
+    at: scheduleAt,
+    guard: INACTIVE_GUARD
   })
   const app = new Koa()
   app.on('error', () => {})
--- a/packages/fuzz/src/_lib/faultyStore.ts
+++ b/packages/fuzz/src/_lib/faultyStore.ts
@@ -6,13 +6,13 @@
 export type StoreFault = 'none' | 'refused' | 'lost-request' | 'lost-answer'
 
 /** Wraps a store; `nextFault` is asked once for every call. */
-export function createFaultyStore (store: platform.ObjectStore, nextFault: () => StoreFault, turn: () => Promise<void>): platform.ObjectStore {
+export function createFaultyStore (store: platform.ObjectStore, nextFault: () => StoreFault, yieldTurn: () => Promise<void>): platform.ObjectStore {
   async function run<Value, Failure extends Error> (call: () => Promise<types.Outcome<Value, Failure>>): Promise<types.Outcome<Value, Failure | types.UnavailableError>> {
     const fault = nextFault()
-    await turn()
+    await yieldTurn()
     if (fault === 'refused' || fault === 'lost-request') return types.fail(new types.UnavailableError(fault))
     const outcome = await call()
-    await turn()
+    await yieldTurn()
     return fault === 'lost-answer' ? types.fail(new types.UnavailableError(fault)) : outcome
   }
   return {
--- a/packages/fuzz/src/fuzz.test.ts
+++ b/packages/fuzz/src/fuzz.test.ts
@@ -14,12 +14,12 @@
 
   test.it('finds an editor that retries blindly with a new id', async () => {
     let attempt = 0
-    const blind: fuzz.EditTable = async (store, edit, options) => {
+    const retryWithNewId: fuzz.EditTable = async (store, edit, options) => {
       const first = await tables.editTable(store, { ...edit, editId: types.brandId(`${edit.editId}/${attempt++}`) }, { ...options, attempts: 1 })
       if (first.ok || !(first.error instanceof tables.EditUnknownError)) return first
       return await tables.editTable(store, edit, options)
     }
-    await assert.rejects(fuzz.fuzzEdits({ seed: SEED, runs: 300 }, blind))
+    await assert.rejects(fuzz.fuzzEdits({ seed: SEED, runs: 300 }, retryWithNewId))
   })
 
   test.it('finds no order of a holder whose lease has lapsed', async () => {
@@ -27,7 +27,7 @@
   })
 
   test.it('finds a lease without a margin', async () => {
-    await assert.rejects(fuzz.fuzzLease({ seed: SEED, runs: 5000 }, { ...fuzz.SOUND_TERMS, marginMs: 0 }))
+    await assert.rejects(fuzz.fuzzLease({ seed: SEED, runs: 5000 }, { ...fuzz.SAFE_TIMINGS, marginMs: 0 }))
   })
 
   test.it('finds no call that runs twice, is refused untruly or gets the answer of another', async () => {
@@ -35,8 +35,8 @@
   })
 
   test.it('finds tickets that call a running attempt not run', async () => {
-    const lying = (): routing.Tickets => ({ ...routing.createTickets(), resolve: () => 'not-run' })
-    await assert.rejects(fuzz.fuzzCalls({ seed: SEED, runs: 60 }, lying))
+    const alwaysNotRun = (): routing.Tickets => ({ ...routing.createTickets(), resolve: () => 'not-run' })
+    await assert.rejects(fuzz.fuzzCalls({ seed: SEED, runs: 60 }, alwaysNotRun))
   })
 
   test.it('finds no daemon that goes back to an older revision', async () => {
@@ -44,7 +44,7 @@
   })
 
   test.it('finds a daemon that accepts a lower revision', async () => {
-    const accepting = (): ReturnType<typeof fuzz.createQuietKeeper> => {
+    const acceptAnyRevision = (): ReturnType<typeof fuzz.createSilentKeeper> => {
       let current = types.EMPTY_TABLE
       const offer = (table: types.Table): 'adopted' => {
         current = table
@@ -56,6 +56,6 @@
       }
       return { current: () => current, offer, offerUnchecked, onAdopt: () => {} }
     }
-    await assert.rejects(fuzz.fuzzSpread({ seed: SEED, runs: 500 }, accepting))
+    await assert.rejects(fuzz.fuzzSpread({ seed: SEED, runs: 500 }, acceptAnyRevision))
   })
 })
--- a/packages/fuzz/src/fuzzCalls/index.ts
+++ b/packages/fuzz/src/fuzzCalls/index.ts
@@ -4,7 +4,7 @@
 import * as rpc from '@switchridge/rpc'
 import * as types from '@switchridge/types'
 import * as callFleet from '../_lib/callFleet.js'
-import type * as runFuzz from '../_lib/runFuzz.js'
+import type * as fuzzOptions from '../_lib/fuzzOptions.js'
 
 const ENTRY_NODES = 2
 const BACKENDS = 2
@@ -33,7 +33,7 @@
   readonly key: number
 }
 
-interface Seen {
+interface ObservedCall {
   readonly id: string
   /** Idempotency key of a call that may not be repeated; -1 for none. */
   readonly key: number
@@ -51,31 +51,31 @@
  * @param createTickets - Creates the tickets under test.
  * @returns Resolves when no call broke a promise.
  */
-export async function fuzzCalls (options: runFuzz.FuzzOptions, createTickets: () => routing.Tickets = () => routing.createTickets()): Promise<void> {
+export async function fuzzCalls (options: fuzzOptions.FuzzOptions, createTickets: () => routing.Tickets = () => routing.createTickets()): Promise<void> {
   const agents = rpc.createHttpAgents()
   await fc.assert(fc.asyncProperty(planArbitrary, async ({ calls, faults, breaks }) => {
     let attempts = 0
-    const fleet = await callFleet.createCallFleet({ entryNodes: ENTRY_NODES, backends: BACKENDS, nextBreak: () => breaks[attempts++] ?? null, createTickets })
-    const sent = calls.map(async (call, index) => {
+    const fleet = await callFleet.createCallFleet({ entryNodes: ENTRY_NODES, backends: BACKENDS, nextBreakMs: () => breaks[attempts++] ?? null, createTickets })
+    const pendingCalls = calls.map(async (call, index) => {
       await types.delay(call.at)
       return await sendCall(agents, fleet.entryUrls[call.entry] ?? '', `call-${index}`, call)
     })
-    const brought = faults.map(async (fault) => {
+    const appliedFaults = faults.map(async (fault) => {
       await types.delay(fault.at)
       if (fault.kind === 'restart') await fleet.restart(fault.backend)
       else fleet.leave(fault.backend)
     })
-    const seen = await Promise.all(sent)
-    await Promise.all(brought)
+    const observed = await Promise.all(pendingCalls)
+    await Promise.all(appliedFaults)
     await types.delay(SETTLE_MS)
-    const problems = [...seen.flatMap((each) => judge(each, fleet.runs.get(each.id) ?? 0)), ...judgeKeys(seen, fleet.runs)]
+    const problems = [...observed.flatMap((each) => checkCall(each, fleet.runs.get(each.id) ?? 0)), ...checkIdempotencyKeys(observed, fleet.runs)]
     await fleet.close()
     if (problems.length > 0) throw new Error(problems.join('; '))
   }), { seed: options.seed, numRuns: options.runs, endOnFailure: true })
   agents.destroy()
 }
 
-async function sendCall (agents: rpc.HttpAgents, base: string, id: string, call: PlannedCall): Promise<Seen> {
+async function sendCall (agents: rpc.HttpAgents, base: string, id: string, call: PlannedCall): Promise<ObservedCall> {
   const { method, behaviour, key } = call
   const headers = { 'x-request-id': id, 'x-fuzz': behaviour, ...(key < 0 ? {} : { 'idempotency-key': `key-${key}` }) }
   const answer = await rpc.sendRequest(agents, { base, path: '/services/stoc/things', method, headers })
@@ -86,24 +86,24 @@
 }
 
 /** The oracle: it knows only what the caller saw and how often the back ends ran the call. */
-function judge (seen: Seen, runs: number): string[] {
+function checkCall (observed: ObservedCall, runs: number): string[] {
   const problems: string[] = []
-  if (seen.method === 'POST' && runs > 1) problems.push(`${seen.id} may not be repeated and ran ${runs} times`)
-  if (seen.outcome === 'not-run' && runs > 0) problems.push(`${seen.id} was refused as not run and ran ${runs} times`)
-  if (seen.isReplayed) return runs > 0 ? [`${seen.id} was replayed and ran`] : problems
-  if (seen.outcome === 'answered' && runs === 0) problems.push(`${seen.id} was answered and never ran`)
-  if (seen.outcome === 'answered' && seen.body !== JSON.stringify({ id: seen.id })) problems.push(`${seen.id} got ${seen.body ?? 'nothing'}`)
-  if (!['answered', 'not-run', 'unknown', 'broken'].includes(seen.outcome)) problems.push(`${seen.id} got outcome ${seen.outcome}`)
+  if (observed.method === 'POST' && runs > 1) problems.push(`${observed.id} may not be repeated and ran ${runs} times`)
+  if (observed.outcome === 'not-run' && runs > 0) problems.push(`${observed.id} was refused as not run and ran ${runs} times`)
+  if (observed.isReplayed) return runs > 0 ? [`${observed.id} was replayed and ran`] : problems
+  if (observed.outcome === 'answered' && runs === 0) problems.push(`${observed.id} was answered and never ran`)
+  if (observed.outcome === 'answered' && observed.body !== JSON.stringify({ id: observed.id })) problems.push(`${observed.id} got ${observed.body ?? 'nothing'}`)
+  if (!['answered', 'not-run', 'unknown', 'broken'].includes(observed.outcome)) problems.push(`${observed.id} got outcome ${observed.outcome}`)
   return problems
 }
 
 /** All calls with one key together run at most once, and a replayed answer is that of the one that ran. */
-function judgeKeys (seen: readonly Seen[], runs: ReadonlyMap<string, number>): string[] {
-  const keys = [...new Set(seen.map((each) => each.key))].filter((key) => key >= 0)
+function checkIdempotencyKeys (observed: readonly ObservedCall[], runs: ReadonlyMap<string, number>): string[] {
+  const keys = [...new Set(observed.map((each) => each.key))].filter((key) => key >= 0)
   return keys.flatMap((key) => {
-    const ran = seen.filter((each) => each.key === key && (runs.get(each.id) ?? 0) > 0)
-    if (ran.length > 1) return [`key ${key} ran as ${ran.map((each) => each.id).join(' and ')}`]
-    const replayed = seen.filter((each) => each.key === key && each.isReplayed && each.body !== JSON.stringify({ id: ran[0]?.id }))
+    const executed = observed.filter((each) => each.key === key && (runs.get(each.id) ?? 0) > 0)
+    if (executed.length > 1) return [`key ${key} ran as ${executed.map((each) => each.id).join(' and ')}`]
+    const replayed = observed.filter((each) => each.key === key && each.isReplayed && each.body !== JSON.stringify({ id: executed[0]?.id }))
     return replayed.map((each) => `${each.id} was replayed ${each.body ?? ''}`)
   })
 }
--- a/packages/fuzz/src/fuzzEdits/index.ts
+++ b/packages/fuzz/src/fuzzEdits/index.ts
@@ -4,7 +4,7 @@
 import * as tables from '@switchridge/table'
 import * as types from '@switchridge/types'
 import * as faultyStore from '../_lib/faultyStore.js'
-import type * as runFuzz from '../_lib/runFuzz.js'
+import type * as fuzzOptions from '../_lib/fuzzOptions.js'
 
 /** Edits a table; mutants stand in for it. */
 export type EditTable = typeof tables.editTable
@@ -19,7 +19,7 @@
   turns: fc.infiniteStream(fc.nat(3))
 })
 
-interface Verdict {
+interface EditResult {
   readonly editId: types.EditId
   readonly change: types.CellChange
   readonly outcome: types.Outcome<types.Table>
@@ -32,22 +32,22 @@
  * @param editTable - The function under test.
  * @returns Resolves when no run broke a promise; rejects with the smallest run that did.
  */
-export async function fuzzEdits (options: runFuzz.FuzzOptions, editTable: EditTable = tables.editTable): Promise<void> {
+export async function fuzzEdits (options: fuzzOptions.FuzzOptions, editTable: EditTable = tables.editTable): Promise<void> {
   await fc.assert(fc.asyncProperty(planArbitrary, async ({ edits, faults, turns }) => {
     const store = platform.createMemoryObjectStore()
     await createService(store)
-    const base = await readRevision(store)
+    const initialCells = await readCells(store)
     let calls = 0
     const nextFault = (): faultyStore.StoreFault => FAULTS[faults[calls++] ?? 0] ?? 'none'
-    const turn = async (): Promise<void> => { for (let wait = turns.next().value; wait > 0; wait -= 1) await Promise.resolve() }
-    const faulty = faultyStore.createFaultyStore(store, nextFault, turn)
-    const verdicts = await Promise.all(edits.map(async (edit, index): Promise<Verdict> => {
-      const change: types.CellChange = { section: 'services', row: 'llm', column: COLUMNS[edit.column] ?? 'queue', before: base.get(edit.column) ?? null, after: edit.value }
+    const yieldTurn = async (): Promise<void> => { for (let remaining = turns.next().value; remaining > 0; remaining -= 1) await Promise.resolve() }
+    const faulty = faultyStore.createFaultyStore(store, nextFault, yieldTurn)
+    const results = await Promise.all(edits.map(async (edit, index): Promise<EditResult> => {
+      const change: types.CellChange = { section: 'services', row: 'llm', column: COLUMNS[edit.column] ?? 'queue', before: initialCells.get(edit.column) ?? null, after: edit.value }
       const editId = types.brandId<types.EditId>(`edit-${index}`)
       const outcome = await editTable(faulty, { editId, editor: 'fuzz', changes: [change] }, { attempts: ATTEMPTS, backoffMs: 0, random: () => 0 })
       return { editId, change, outcome }
     }))
-    await checkVerdicts(store, verdicts)
+    await checkResults(store, results)
   }), { seed: options.seed, numRuns: options.runs })
 }
 
@@ -56,26 +56,26 @@
   await tables.editTable(store, { editId: types.brandId('first'), editor: 'fuzz', changes })
 }
 
-async function readRevision (store: platform.ObjectStore): Promise<Map<number, types.CellValue>> {
+async function readCells (store: platform.ObjectStore): Promise<Map<number, types.CellValue>> {
   const stored = await tables.readTable(store)
   const row = stored.ok ? stored.value.table.services[0] as unknown as Record<string, types.CellValue> : {}
   return new Map(COLUMNS.map((column, index) => [index, row[column] ?? null]))
 }
 
 /** The oracle: replaying the audit must give the table, and every verdict must agree with the audit. */
-async function checkVerdicts (store: platform.ObjectStore, verdicts: readonly Verdict[]): Promise<void> {
+async function checkResults (store: platform.ObjectStore, results: readonly EditResult[]): Promise<void> {
   const audit = await tables.readAudit(store, 1)
   const stored = await tables.readTable(store)
   if (!audit.ok || !stored.ok) throw new Error('the platform cannot be read at the end')
   audit.value.forEach((entry, index) => { if (entry.revision !== index + 1) throw new Error(`revision ${index + 1} has no audit entry`) })
   const counts = new Map<string, number>()
   for (const entry of audit.value) counts.set(entry.editId, (counts.get(entry.editId) ?? 0) + 1)
-  for (const { editId, outcome } of verdicts) {
+  for (const { editId, outcome } of results) {
     const count = counts.get(editId) ?? 0
     if (count > 1) throw new Error(`${editId} took effect ${count} times`)
     if (outcome.ok && count !== 1) throw new Error(`${editId} was accepted and is not there`)
-    const isSurelyOut = !outcome.ok && !(outcome.error instanceof tables.EditUnknownError)
-    if (isSurelyOut && count !== 0) throw new Error(`${editId} was refused and is there`)
+    const isDefinitelyRejected = !outcome.ok && !(outcome.error instanceof tables.EditUnknownError)
+    if (isDefinitelyRejected && count !== 0) throw new Error(`${editId} was refused and is there`)
   }
   let replayed = types.EMPTY_TABLE
   for (const entry of audit.value) {
--- a/packages/fuzz/src/fuzzLease/index.ts
+++ b/packages/fuzz/src/fuzzLease/index.ts
@@ -1,22 +1,22 @@
 /** Holders of a lease that are paused at any moment, before an engine that checks no fence: orders never overlap. */
 import * as fc from 'fast-check'
 import * as platform from '@switchridge/store'
-import type * as runFuzz from '../_lib/runFuzz.js'
+import type * as fuzzOptions from '../_lib/fuzzOptions.js'
 
 /** Options of a lease that mutants change. */
-export interface LeaseTerms {
+export interface LeaseTimings {
   readonly durationMs: number
   readonly marginMs: number
 }
 
-export const SOUND_TERMS: LeaseTerms = { durationMs: 400, marginMs: 200 }
+export const SAFE_TIMINGS: LeaseTimings = { durationMs: 400, marginMs: 200 }
 /** Milliseconds that an order is under way at most; within the margin. */
-const ORDER_MS = 200
+const MAX_ORDER_MS = 200
 const HOLDERS = 2
 
 const stepArbitrary = fc.oneof(
   fc.record({ kind: fc.constant('acquire' as const), holder: fc.nat(HOLDERS - 1) }),
-  fc.record({ kind: fc.constant('order' as const), holder: fc.nat(HOLDERS - 1), delay: fc.constantFrom(1, ORDER_MS / 2, ORDER_MS - 1) }),
+  fc.record({ kind: fc.constant('order' as const), holder: fc.nat(HOLDERS - 1), delay: fc.constantFrom(1, MAX_ORDER_MS / 2, MAX_ORDER_MS - 1) }),
   fc.record({ kind: fc.constant('release' as const), holder: fc.nat(HOLDERS - 1) }),
   fc.record({ kind: fc.constant('pass' as const), time: fc.constantFrom(40, 160) })
 )
@@ -25,23 +25,23 @@
  * Fuzzes leases.
  *
  * @param options - Seed and number of runs.
- * @param terms - Duration and margin under test.
+ * @param timings - Duration and margin under test.
  * @returns Resolves when no order reached the engine after another holder had the lease.
  */
-export async function fuzzLease (options: runFuzz.FuzzOptions, terms: LeaseTerms = SOUND_TERMS): Promise<void> {
+export async function fuzzLease (options: fuzzOptions.FuzzOptions, timings: LeaseTimings = SAFE_TIMINGS): Promise<void> {
   await fc.assert(fc.asyncProperty(fc.array(stepArbitrary, { minLength: 20, maxLength: 60 }), async (steps) => {
     let time = 0
     const store = platform.createMemoryObjectStore()
-    const leases = Array.from({ length: HOLDERS }, (_, holder) => platform.createLease(store, 'engine', `holder-${holder}`, { ...terms, now: () => time }))
+    const leases = Array.from({ length: HOLDERS }, (_, holder) => platform.createLease(store, 'engine', `holder-${holder}`, { ...timings, now: () => time }))
     let owner = -1
     let generation = 0
-    const underWay: Array<{ readonly holder: number, readonly at: number }> = []
+    const inFlight: Array<{ readonly holder: number, readonly at: number }> = []
 
     const deliver = (until: number): void => {
-      for (const order of underWay.filter((each) => each.at <= until)) {
+      for (const order of inFlight.filter((each) => each.at <= until)) {
         if (order.holder !== owner) throw new Error(`an order of holder ${order.holder} reached the engine while ${owner} had the lease`)
       }
-      underWay.splice(0, underWay.length, ...underWay.filter((each) => each.at > until))
+      inFlight.splice(0, inFlight.length, ...inFlight.filter((each) => each.at > until))
     }
 
     for (const step of steps) {
@@ -56,8 +56,8 @@
         owner = step.holder
         generation = acquired.value
       } else if (step.kind === 'order') {
-        if (leases[step.holder]?.currentGeneration() != null) underWay.push({ holder: step.holder, at: time + step.delay })
-      } else if (!underWay.some((order) => order.holder === step.holder)) {
+        if (leases[step.holder]?.currentGeneration() != null) inFlight.push({ holder: step.holder, at: time + step.delay })
+      } else if (!inFlight.some((order) => order.holder === step.holder)) {
         await leases[step.holder]?.release()
       }
     }
--- a/packages/fuzz/src/fuzzSpread/index.ts
+++ b/packages/fuzz/src/fuzzSpread/index.ts
@@ -3,7 +3,7 @@
 import * as daemon from '@switchridge/daemon'
 import * as observability from '@switchridge/observability'
 import * as types from '@switchridge/types'
-import type * as runFuzz from '../_lib/runFuzz.js'
+import type * as fuzzOptions from '../_lib/fuzzOptions.js'
 
 /** Creates the keeper of a daemon; mutants stand in for it. */
 export type CreateKeeper = () => daemon.TableKeeper
@@ -24,7 +24,7 @@
 }
 
 /** Creates a keeper that logs nothing. */
-export function createQuietKeeper (): daemon.TableKeeper {
+export function createSilentKeeper (): daemon.TableKeeper {
   return daemon.createTableKeeper(observability.createLogger('fuzz', {}, { level: 'silent' }))
 }
 
@@ -35,39 +35,39 @@
  * @param createKeeper - Creates the keepers under test.
  * @returns Resolves when no daemon went back and all ended at the newest revision that any of them holds.
  */
-export async function fuzzSpread (options: runFuzz.FuzzOptions, createKeeper: CreateKeeper = createQuietKeeper): Promise<void> {
+export async function fuzzSpread (options: fuzzOptions.FuzzOptions, createKeeper: CreateKeeper = createSilentKeeper): Promise<void> {
   await fc.assert(fc.asyncProperty(fc.array(stepArbitrary, { maxLength: 60 }), async (steps) => {
     const keepers = Array.from({ length: DAEMONS }, createKeeper)
-    const floors = keepers.map(() => 0)
-    const check = (index: number): void => {
+    const highestSeen = keepers.map(() => 0)
+    const checkMonotonic = (index: number): void => {
       const revision = keepers[index]?.current().revision ?? 0
-      if (revision < (floors[index] ?? 0)) throw new Error(`daemon ${index} went back from ${floors[index] ?? 0} to ${revision}`)
-      floors[index] = revision
+      if (revision < (highestSeen[index] ?? 0)) throw new Error(`daemon ${index} went back from ${highestSeen[index] ?? 0} to ${revision}`)
+      highestSeen[index] = revision
     }
     for (const step of steps) {
       const keeper = keepers[step.daemon]
       if (step.kind === 'platform') keeper?.offerUnchecked(makeTable(step.revision), 'platform')
       else if (step.kind === 'garbage') keeper?.offerUnchecked({ revision: 99, models: 'none' }, 'platform')
       else if (step.kind === 'peer') keeper?.offerUnchecked(keepers[step.from]?.current(), 'peer')
-      else replace(keepers, floors, step.daemon, step.from, createKeeper)
-      check(step.daemon)
+      else replace(keepers, highestSeen, step.daemon, step.from, createKeeper)
+      checkMonotonic(step.daemon)
     }
     const newest = Math.max(...keepers.map((keeper) => keeper.current().revision))
     const source = keepers.find((keeper) => keeper.current().revision === newest)
     keepers.forEach((keeper, index) => {
       if (source !== undefined) keeper.offer(source.current(), 'peer')
-      check(index)
+      checkMonotonic(index)
       if (keeper.current().revision !== newest) throw new Error(`daemon ${index} did not reach revision ${newest}`)
     })
   }), { seed: options.seed, numRuns: options.runs })
 }
 
 /** A replaced daemon asks a daemon of its hall before it serves; it starts a new life without a floor of its own. */
-function replace (keepers: daemon.TableKeeper[], floors: number[], index: number, from: number, createKeeper: CreateKeeper): void {
+function replace (keepers: daemon.TableKeeper[], highestSeen: number[], index: number, from: number, createKeeper: CreateKeeper): void {
   if (index === from) return
-  const fresh = createKeeper()
-  keepers[index] = fresh
-  floors[index] = 0
+  const replacement = createKeeper()
+  keepers[index] = replacement
+  highestSeen[index] = 0
   const peer = keepers[from]
-  if (peer !== undefined) fresh.offer(peer.current(), 'peer')
+  if (peer !== undefined) replacement.offer(peer.current(), 'peer')
 }
--- a/packages/fuzz/src/index.ts
+++ b/packages/fuzz/src/index.ts
@@ -1,5 +1,5 @@
 /** Stateful fuzzing against simple oracles. */
-export * from './_lib/runFuzz.js'
+export * from './_lib/fuzzOptions.js'
 export * from './fuzzCalls/index.js'
 export * from './fuzzEdits/index.js'
 export * from './fuzzLease/index.js'
--- a/packages/fuzz/src/main.ts
+++ b/packages/fuzz/src/main.ts
@@ -4,13 +4,13 @@
 import * as fuzz from './index.js'
 
 /** A run of calls goes over sockets and takes some hundred times as long as another run. */
-const CALL_RUNS_PART = 20
+const CALL_RUNS_DIVISOR = 20
 
 const FUZZES: Readonly<Record<string, (options: fuzz.FuzzOptions) => Promise<void>>> = {
   edits: fuzz.fuzzEdits,
   lease: fuzz.fuzzLease,
   spread: fuzz.fuzzSpread,
-  calls: async (options) => { await fuzz.fuzzCalls({ ...options, runs: Math.ceil(options.runs / CALL_RUNS_PART) }) }
+  calls: async (options) => { await fuzz.fuzzCalls({ ...options, runs: Math.ceil(options.runs / CALL_RUNS_DIVISOR) }) }
 }
 
 const options = await yargs(process.argv.slice(2))
--- a/packages/launcher/src/createLauncher/index.ts
+++ b/packages/launcher/src/createLauncher/index.ts
@@ -17,8 +17,8 @@
 /** What a command that ran to its end left. */
 export interface CommandResult {
   readonly exitCode: number
-  readonly output: string
-  readonly errors: string
+  readonly stdout: string
+  readonly stderr: string
 }
 
 /** Starts and ends processes. */
@@ -33,7 +33,7 @@
   readonly close: () => Promise<void>
 }
 
-const END_MS = 1500
+const TERMINATION_TIMEOUT_MS = 1500
 const EXIT_INTERRUPTED = 130
 const SIGNALS = ['SIGINT', 'SIGTERM', 'SIGHUP'] as const
 /** Flags of the runtime for every launched process, for example `--cpu-prof --cpu-prof-dir=DIR`. */
@@ -80,16 +80,16 @@
 
   async function run (module: string, args: readonly string[], environment: Readonly<Record<string, string>>): Promise<CommandResult> {
     return await new Promise((resolve) => {
-      childProcess.execFile(process.execPath, [module, ...args], { env: { ...process.env, ...environment } }, (error, output, errors) => {
-        resolve({ exitCode: error === null ? 0 : Number(error.code ?? 1), output, errors })
+      childProcess.execFile(process.execPath, [module, ...args], { env: { ...process.env, ...environment } }, (error, stdout, stderr) => {
+        resolve({ exitCode: error === null ? 0 : Number(error.code ?? 1), stdout, stderr })
       })
     })
   }
 
   async function close (): Promise<void> {
-    const left = [...running.values()]
-    for (const launched of left) launched.kill('SIGTERM')
-    await Promise.race([Promise.all(left.map(async (launched) => await launched.exited)), types.delay(END_MS)])
+    const remaining = [...running.values()]
+    for (const launched of remaining) launched.kill('SIGTERM')
+    await Promise.race([Promise.all(remaining.map(async (launched) => await launched.exited)), types.delay(TERMINATION_TIMEOUT_MS)])
     const ended = [...running.values()].map(async (launched) => await launched.exited)
     killAll()
     await Promise.all(ended)
--- a/packages/launcher/src/startFleet/index.ts
+++ b/packages/launcher/src/startFleet/index.ts
@@ -54,13 +54,13 @@
 }
 
 export const SHARED_KEY = 'a-shared-key-for-demonstrations'
-const START_MS = 30_000
+const START_TIMEOUT_MS = 30_000
 
-const moduleOf = (name: string): string => url.fileURLToPath(import.meta.resolve(name))
-const STAND_INS = path.join(path.dirname(moduleOf('@switchridge/standins')), 'main.js')
-const DAEMON = path.join(path.dirname(moduleOf('@switchridge/standins')), '../../daemon/dist/main.js')
+const resolveModule = (name: string): string => url.fileURLToPath(import.meta.resolve(name))
+const STAND_INS_MODULE = path.join(path.dirname(resolveModule('@switchridge/standins')), 'main.js')
+const DAEMON_MODULE = path.join(path.dirname(resolveModule('@switchridge/standins')), '../../daemon/dist/main.js')
 
-interface Draft extends Omit<FleetNode, 'process' | 'settingsFile'> {
+interface NodePlan extends Omit<FleetNode, 'process' | 'settingsFile'> {
   readonly region: string
 }
 
@@ -72,23 +72,23 @@
  * @returns The fleet, when every process answers.
  */
 export async function startFleet (launcher: createLauncher.Launcher, options: FleetOptions): Promise<Fleet> {
-  const drafts = await draftNodes(options.plan)
+  const nodePlans = await planNodes(options.plan)
   const [platformPort = 0, originPort = 0] = await findPorts.findPorts(2)
-  launcher.start('platform', STAND_INS, ['platform', '--port', String(platformPort)])
-  launcher.start('origin', STAND_INS, ['origin', '--port', String(originPort), '--rate', String(options.originBytesPerSecond)])
-  startBackEnds(launcher, drafts, options)
+  launcher.start('platform', STAND_INS_MODULE, ['platform', '--port', String(platformPort)])
+  launcher.start('origin', STAND_INS_MODULE, ['origin', '--port', String(originPort), '--rate', String(options.originBytesPerSecond)])
+  startBackEnds(launcher, nodePlans, options)
   const platformUrl = `http://${types.LOOPBACK_HOST}:${platformPort}`
   const originUrl = `http://${types.LOOPBACK_HOST}:${originPort}`
-  const seeds = drafts.filter((draft) => draft.role === 'entry')
-  const startNode = (node: Pick<FleetNode, 'node' | 'settingsFile'>): createLauncher.LaunchedProcess => launcher.start(node.node, DAEMON, ['--settings', node.settingsFile])
-  const nodes = drafts.map((draft): FleetNode => {
-    const settingsFile = path.join(launcher.folder, `${draft.node}.toml`)
-    const entryNodes = seeds.filter((seed) => draft.role === 'entry' || seed.hall === draft.hall)
-    fs.writeFileSync(settingsFile, formatSettings(draft, options, platformUrl, originUrl, entryNodes))
-    return { ...draft, settingsFile, process: startNode({ node: draft.node, settingsFile }) }
+  const seeds = nodePlans.filter((nodePlan) => nodePlan.role === 'entry')
+  const startNode = (node: Pick<FleetNode, 'node' | 'settingsFile'>): createLauncher.LaunchedProcess => launcher.start(node.node, DAEMON_MODULE, ['--settings', node.settingsFile])
+  const nodes = nodePlans.map((nodePlan): FleetNode => {
+    const settingsFile = path.join(launcher.folder, `${nodePlan.node}.toml`)
+    const entryNodes = seeds.filter((seed) => nodePlan.role === 'entry' || seed.hall === nodePlan.hall)
+    fs.writeFileSync(settingsFile, formatSettings(nodePlan, options, platformUrl, originUrl, entryNodes))
+    return { ...nodePlan, settingsFile, process: startNode({ node: nodePlan.node, settingsFile }) }
   })
-  await waitUntil.waitUntil(async () => await allAnswer([platformUrl, originUrl]), START_MS, 'the stand-ins')
-  await waitUntil.waitUntil(async () => await allAnswer(nodes.map(({ address }) => `http://${address.host}:${address.port}`)), START_MS, 'the daemons')
+  await waitUntil.waitUntil(async () => await allAnswer([platformUrl, originUrl]), START_TIMEOUT_MS, 'the stand-ins')
+  await waitUntil.waitUntil(async () => await allAnswer(nodes.map(({ address }) => `http://${address.host}:${address.port}`)), START_TIMEOUT_MS, 'the daemons')
   return {
     deployment: options.plan.deployment,
     platformUrl,
@@ -101,7 +101,7 @@
   }
 }
 
-async function draftNodes (plan: describeFleet.FleetPlan): Promise<Draft[]> {
+async function planNodes (plan: describeFleet.FleetPlan): Promise<NodePlan[]> {
   const wanted = plan.halls.flatMap((hall, index) => [
     ...Array.from({ length: hall.entryNodes }, (_, number) => ({ hall, role: 'entry' as const, service: '', kind: '' as const, name: `entry-${number + 1}` })),
     ...plan.services.flatMap((service) => Array.from({ length: service.perHall[index] ?? 0 }, (_, number) => ({
@@ -122,34 +122,34 @@
   }))
 }
 
-function startBackEnds (launcher: createLauncher.Launcher, drafts: readonly Draft[], options: FleetOptions): void {
-  const portOf = (draft: Draft): string => new URL(draft.backEndUrl).port
-  for (const draft of drafts.filter((each) => each.kind === 'plain')) {
-    launcher.start(`${draft.node}-back-end`, STAND_INS, ['plain', '--port', portOf(draft), '--work-ms', String(options.plainWorkMs)])
+function startBackEnds (launcher: createLauncher.Launcher, nodePlans: readonly NodePlan[], options: FleetOptions): void {
+  const getPort = (nodePlan: NodePlan): string => new URL(nodePlan.backEndUrl).port
+  for (const nodePlan of nodePlans.filter((each) => each.kind === 'plain')) {
+    launcher.start(`${nodePlan.node}-back-end`, STAND_INS_MODULE, ['plain', '--port', getPort(nodePlan), '--work-ms', String(options.plainWorkMs)])
   }
-  const engines = drafts.filter((each) => each.kind === 'engine')
+  const engines = nodePlans.filter((each) => each.kind === 'engine')
   for (let first = 0; first < engines.length; first += options.enginesPerProcess) {
     const batch = engines.slice(first, first + options.enginesPerProcess)
-    launcher.start(`${batch[0]?.node ?? ''}-back-end`, STAND_INS, [
-      'engine', '--port', ...batch.map(portOf), '--token-ms', String(options.tokenMs), options.readsWeights ? '--reads-weights' : '--no-reads-weights'
+    launcher.start(`${batch[0]?.node ?? ''}-back-end`, STAND_INS_MODULE, [
+      'engine', '--port', ...batch.map(getPort), '--token-ms', String(options.tokenMs), options.readsWeights ? '--reads-weights' : '--no-reads-weights'
     ])
   }
 }
 
-function formatSettings (draft: Draft, options: FleetOptions, platformUrl: string, originUrl: string, entryNodes: readonly Draft[]): string {
-  const backEnd = draft.role === 'entry'
+function formatSettings (nodePlan: NodePlan, options: FleetOptions, platformUrl: string, originUrl: string, entryNodes: readonly NodePlan[]): string {
+  const backEnd = nodePlan.role === 'entry'
     ? ''
-    : `[back_end]\nservice = "${draft.service}"\nkind = "${draft.kind}"\nurl = "${draft.backEndUrl}"\nmemory_bytes = ${options.engineMemoryBytes}\n`
-  return `role = "${draft.role}"
+    : `[back_end]\nservice = "${nodePlan.service}"\nkind = "${nodePlan.kind}"\nurl = "${nodePlan.backEndUrl}"\nmemory_bytes = ${options.engineMemoryBytes}\n`
+  return `role = "${nodePlan.role}"
 deployment = "${options.plan.deployment}"
-node = "${draft.node}"
-data_hall = "${draft.hall}"
-region = "${draft.region}"
+node = "${nodePlan.node}"
+data_hall = "${nodePlan.hall}"
+region = "${nodePlan.region}"
 entry_nodes = [${entryNodes.map(({ address }) => `"${address.host}:${address.port}"`).join(', ')}]
 [listen]
-host = "${draft.address.host}"
-port = ${draft.address.port}
-caller_port = ${draft.callerPort}
+host = "${nodePlan.address.host}"
+port = ${nodePlan.address.port}
+caller_port = ${nodePlan.callerPort}
 [platform]
 url = "${platformUrl}"
 [origin]
--- a/packages/launcher/src/waitUntil/index.ts
+++ b/packages/launcher/src/waitUntil/index.ts
@@ -8,11 +8,11 @@
  *
  * @param condition - Asked again and again; a throw counts as not yet.
  * @param timeoutMs - Milliseconds after which it gives up.
- * @param what - What is waited for, for the error.
+ * @param description - What is waited for, for the error.
  * @returns Resolves when it holds.
  * @throws Error when the time is over.
  */
-export async function waitUntil (condition: () => Promise<boolean> | boolean, timeoutMs: number, what: string): Promise<void> {
+export async function waitUntil (condition: () => Promise<boolean> | boolean, timeoutMs: number, description: string): Promise<void> {
   const endAt = performance.now() + timeoutMs
   while (performance.now() < endAt) {
     try {
@@ -22,5 +22,5 @@
     }
     await types.delay(POLL_MS)
   }
-  throw new Error(`${what} did not come within ${timeoutMs} ms`)
+  throw new Error(`${description} did not come within ${timeoutMs} ms`)
 }
--- a/packages/measure/src/_lib/editRow.ts
+++ b/packages/measure/src/_lib/editRow.ts
@@ -9,7 +9,7 @@
 const PLATFORM_TIMEOUT_MS = 15_000
 
 /** Cells of a row by column. */
-export type Cells = Readonly<Record<string, types.CellValue>>
+export type RowCells = Readonly<Record<string, types.CellValue>>
 
 /** Opens the platform of a fleet. */
 export function openStore (fleet: Pick<launcher.Fleet, 'platformUrl'>): platform.ObjectStore {
@@ -17,13 +17,13 @@
 }
 
 /** Sets cells of a row; returns the revision. */
-export async function editRow (store: platform.ObjectStore, section: types.SectionName, row: string, cells: Cells): Promise<number> {
+export async function editRow (store: platform.ObjectStore, section: types.SectionName, row: string, cells: RowCells): Promise<number> {
   const stored = await tables.readTable(store)
   if (!stored.ok) throw stored.error
-  const current = stored.value.table[section].find((each) => each.id === row) as Cells | undefined
+  const current = stored.value.table[section].find((each) => each.id === row) as RowCells | undefined
   const changes = Object.entries(cells).map(([column, after]): types.CellChange => ({ section, row, column, before: current?.[column] ?? null, after }))
-  const creation: types.CellChange[] = current === undefined ? [{ section, row, column: 'id', before: null, after: row }] : []
-  const edited = await tables.editTable(store, { editId: types.brandId<types.EditId>(crypto.randomUUID()), editor: 'measure', changes: [...creation, ...changes] })
+  const idChanges: types.CellChange[] = current === undefined ? [{ section, row, column: 'id', before: null, after: row }] : []
+  const edited = await tables.editTable(store, { editId: types.brandId<types.EditId>(crypto.randomUUID()), editor: 'measure', changes: [...idChanges, ...changes] })
   if (!edited.ok) throw edited.error
   return edited.value.revision
 }
--- a/packages/measure/src/_lib/output.ts
+++ b/packages/measure/src/_lib/output.ts
@@ -9,7 +9,7 @@
   readonly close: (summary: object) => void
 }
 
-const SHORT_HASH = ['rev-parse', '--short', 'HEAD']
+const SHORT_HASH_ARGS = ['rev-parse', '--short', 'HEAD']
 
 /** Creates the output; results go to `folder` as well when one is given. */
 export function createOutput (name: string, isJson: boolean, folder: string | undefined): Output {
@@ -17,7 +17,7 @@
   const print = (result: object): void => {
     const line = JSON.stringify(result)
     lines.push(line)
-    process.stdout.write((isJson ? line : formatForReader(result)) + '\n')
+    process.stdout.write((isJson ? line : formatForTerminal(result)) + '\n')
   }
   return {
     add: (result) => { print({ name, ...result }) },
@@ -30,7 +30,7 @@
   }
 }
 
-function formatForReader (result: object): string {
+function formatForTerminal (result: object): string {
   return Object.entries(result)
     .filter(([, value]) => typeof value !== 'object')
     .map(([key, value]) => `${key}=${typeof value === 'number' ? Number(value.toPrecision(4)) : String(value)}`)
@@ -40,7 +40,7 @@
 /** The commit that is measured; `+` marks changes that are not committed. */
 export function readCommit (): string {
   try {
-    const hash = childProcess.execFileSync('git', SHORT_HASH, { encoding: 'utf8' }).trim()
+    const hash = childProcess.execFileSync('git', SHORT_HASH_ARGS, { encoding: 'utf8' }).trim()
     const changes = childProcess.execFileSync('git', ['status', '--porcelain', '--', 'packages'], { encoding: 'utf8' }).trim()
     return changes === '' ? hash : `${hash}+`
   } catch {
--- a/packages/measure/src/_lib/statistics.ts
+++ b/packages/measure/src/_lib/statistics.ts
@@ -2,8 +2,8 @@
 import * as statistics from 'simple-statistics'
 
 /** The value below which a part of the samples lies. */
-export function quantile (samples: readonly number[], part: number): number {
-  return samples.length === 0 ? 0 : statistics.quantile([...samples], part)
+export function quantile (samples: readonly number[], probability: number): number {
+  return samples.length === 0 ? 0 : statistics.quantile([...samples], probability)
 }
 
 export function mean (samples: readonly number[]): number {
--- a/packages/measure/src/plotResults/index.ts
+++ b/packages/measure/src/plotResults/index.ts
@@ -20,13 +20,13 @@
  */
 export async function plotResults (file: string, key: string, target: string): Promise<void> {
   const results = fs.readFileSync(file, 'utf8').trim().split('\n').map((line) => JSON.parse(line) as Record<string, unknown>)
-  const bars = results.filter((result) => typeof result[key] === 'number').map((result): Bar => ({ label: describe(result), value: result[key] as number }))
+  const bars = results.filter((result) => typeof result[key] === 'number').map((result): Bar => ({ label: formatLabel(result), value: result[key] as number }))
   const view = new vega.View(vega.parse(createSpec(bars, key)), { renderer: 'none' })
   fs.writeFileSync(target, await view.toSVG())
   view.finalize()
 }
 
-function describe (result: Record<string, unknown>): string {
+function formatLabel (result: Record<string, unknown>): string {
   const parts = [result['policy'], result['nodes'], result['entryNodes'], result['load'], result['favour'] === 'origin-bytes' ? 'origin-bytes' : '']
   const faults = [result['dying'] ? `${Number(result['dying']) * 100} % dying` : '', result['cutsHall'] === true ? 'hall cut off' : '']
   return [...parts, ...faults].filter((part) => part !== undefined && part !== '').join(', ')
--- a/packages/measure/src/runBurst/index.ts
+++ b/packages/measure/src/runBurst/index.ts
@@ -3,7 +3,7 @@
 import * as got from 'got'
 import * as launcher from '@switchridge/launcher'
 import * as types from '@switchridge/types'
-import * as cutHall from '../_lib/cutHall.js'
+import * as isolateHall from '../_lib/isolateHall.js'
 import * as editRow from '../_lib/editRow.js'
 import * as logTimes from '../_lib/logTimes.js'
 import type * as output from '../_lib/output.js'
@@ -65,13 +65,13 @@
 const HALLS = ['hall-a', 'hall-b', 'hall-c']
 const ENTRY_NODES_PER_HALL = 2
 const ENGINES_PER_PROCESS = 32
-const ALLOWED_COPIES = 4
+const MAX_ORIGIN_COPIES = 4
 const ORIGIN_COPIES_PER_TRANSFER = 4
 const LINK_COPIES_PER_TRANSFER = 2
 const SETTLE_MS = 2500
-const TIMEOUT_FACTOR = 40
-const FAULT_AT = 0.4
-const CUT_SECONDS = 3
+const TIMEOUT_TO_LIMIT_RATIO = 40
+const FAULT_START_FRACTION = 0.4
+const ISOLATION_SECONDS = 3
 const POLL_MS = 200
 const ROW = 'model'
 
@@ -87,11 +87,11 @@
 }
 
 function listTrials (options: BurstOptions): Trial[] {
-  const plain = { policy: 'swarm', favour: 'time' as const, dying: 0, cutsHall: false }
-  const sizes = options.sizes.filter((nodes) => nodes > 0).map((nodes): Trial => ({ ...plain, nodes }))
-  const at = { ...plain, nodes: options.compareAt }
-  const faults = options.faults.map((fault): Trial => ({ ...at, ...FAULTS[fault] }))
-  const baselines = options.policies.map((policy): Trial => ({ ...at, policy }))
+  const defaults = { policy: 'swarm', favour: 'time' as const, dying: 0, cutsHall: false }
+  const sizes = options.sizes.filter((nodes) => nodes > 0).map((nodes): Trial => ({ ...defaults, nodes }))
+  const comparison = { ...defaults, nodes: options.compareAt }
+  const faults = options.faults.map((fault): Trial => ({ ...comparison, ...FAULTS[fault] }))
+  const baselines = options.policies.map((policy): Trial => ({ ...comparison, policy }))
   return [...sizes, ...(options.compareAt > 0 ? [...faults, ...baselines] : [])]
 }
 
@@ -154,13 +154,13 @@
   await types.delay(SETTLE_MS)
   const before = await launcher.readStatuses(fleet, fleet.backends)
   await editRow.editRow(store, 'models', ROW, {
-    service: 'llm', version: '1', source: 'model-1', manifest: published.manifest, bytes: rates.bytes, originCopies: ALLOWED_COPIES, originBytesPerSecond: rates.origin, favour: trial.favour
+    service: 'llm', version: '1', source: 'model-1', manifest: published.manifest, bytes: rates.bytes, originCopies: MAX_ORIGIN_COPIES, originBytesPerSecond: rates.origin, favour: trial.favour
   })
   const startedAt = Date.now()
   const limitSeconds = computeLimit(rates, trial.nodes)
-  const dead = await bringAboutFaults(fleet, trial, limitSeconds)
-  const alive = fleet.backends.filter((node) => !dead.has(node.node))
-  await waitForServing(fleet, alive.length, dead, limitSeconds * TIMEOUT_FACTOR)
+  const killedNodes = await injectFaults(fleet, trial, limitSeconds)
+  const alive = fleet.backends.filter((node) => !killedNodes.has(node.node))
+  await waitForServing(fleet, alive.length, killedNodes, limitSeconds * TIMEOUT_TO_LIMIT_RATIO)
   const after = await launcher.readStatuses(fleet, fleet.backends)
   const times = alive.flatMap((node) => logTimes.readEventTimes(node.process.logFile, 'serving').slice(0, 1)).map((time) => (time - startedAt) / types.MILLISECONDS_IN_SECOND).sort((left, right) => left - right)
   const origin = await got.got(`${fleet.originUrl}/admin/counts`).json<{ bytes: number }>()
@@ -172,38 +172,38 @@
   return Math.max(rates.bytes / rates.origin, rates.bytes / rates.link, nodes * rates.bytes / (rates.origin + nodes * rates.link))
 }
 
-async function bringAboutFaults (fleet: launcher.Fleet, trial: Trial, limitSeconds: number): Promise<Set<string>> {
-  const dead = new Set<string>()
-  if (trial.dying === 0 && !trial.cutsHall) return dead
-  await types.delay(FAULT_AT * limitSeconds * types.MILLISECONDS_IN_SECOND)
+async function injectFaults (fleet: launcher.Fleet, trial: Trial, limitSeconds: number): Promise<Set<string>> {
+  const killedNodes = new Set<string>()
+  if (trial.dying === 0 && !trial.cutsHall) return killedNodes
+  await types.delay(FAULT_START_FRACTION * limitSeconds * types.MILLISECONDS_IN_SECOND)
   const count = Math.ceil(trial.dying * fleet.backends.length)
   const step = Math.max(1, Math.floor(fleet.backends.length / Math.max(1, count)))
   for (let index = 0; index < count; index += 1) {
     const node = fleet.backends[index * step]
     if (node === undefined) continue
     node.process.kill('SIGKILL')
-    dead.add(node.node)
+    killedNodes.add(node.node)
   }
-  if (trial.cutsHall) await cutForAWhile(fleet, HALLS[2] ?? '')
-  return dead
+  if (trial.cutsHall) await isolateHallTemporarily(fleet, HALLS[2] ?? '')
+  return killedNodes
 }
 
 /** The origin and the platform stay in reach of the hall. */
-async function cutForAWhile (fleet: launcher.Fleet, hall: string): Promise<void> {
-  await cutHall.cutHall(fleet, hall)
-  await types.delay(CUT_SECONDS * types.MILLISECONDS_IN_SECOND)
-  await cutHall.healHall(fleet)
+async function isolateHallTemporarily (fleet: launcher.Fleet, hall: string): Promise<void> {
+  await isolateHall.isolateHall(fleet, hall)
+  await types.delay(ISOLATION_SECONDS * types.MILLISECONDS_IN_SECOND)
+  await isolateHall.reconnectHall(fleet)
 }
 
-async function waitForServing (fleet: launcher.Fleet, wanted: number, dead: ReadonlySet<string>, timeoutSeconds: number): Promise<void> {
+async function waitForServing (fleet: launcher.Fleet, wanted: number, killedNodes: ReadonlySet<string>, timeoutSeconds: number): Promise<void> {
   await launcher.waitUntil(async () => {
     await types.delay(POLL_MS)
     const members = await launcher.readMembers(fleet)
-    return members.filter((member) => !dead.has(member.facts.node) && member.facts.serving.length > 0).length >= wanted
+    return members.filter((member) => !killedNodes.has(member.facts.node) && member.facts.serving.length > 0).length >= wanted
   }, timeoutSeconds * types.MILLISECONDS_IN_SECOND, `${wanted} serving replicas`)
 }
 
-interface Observed {
+interface TrialObservations {
   readonly times: readonly number[]
   readonly limitSeconds: number
   readonly originBytes: number
@@ -211,10 +211,10 @@
   readonly after: readonly launcher.NodeStatus[]
 }
 
-function describeTrial (trial: Trial, rates: Rates, observed: Observed): BurstResult {
+function describeTrial (trial: Trial, rates: Rates, observed: TrialObservations): BurstResult {
   const { times, limitSeconds, before, after } = observed
-  const countOf = (status: launcher.NodeStatus, key: string): number => status.transfers.reduce((sum, each) => sum + (each.counts?.[key] ?? 0), 0)
-  const perNode = (read: (status: launcher.NodeStatus) => number): number => statistics.round(statistics.mean(after.map(read)))
+  const sumTransferCount = (status: launcher.NodeStatus, key: string): number => status.transfers.reduce((sum, each) => sum + (each.counts?.[key] ?? 0), 0)
+  const averagePerNode = (read: (status: launcher.NodeStatus) => number): number => statistics.round(statistics.mean(after.map(read)))
   const cpuBefore = new Map(before.map((status) => [status.self.node, status.process.cpuSeconds]))
   const cpu = statistics.mean(after.map((status) => status.process.cpuSeconds - (cpuBefore.get(status.self.node) ?? 0)))
   const all = times.at(-1) ?? 0
@@ -226,13 +226,13 @@
     limitSeconds: statistics.round(limitSeconds),
     ratioToLimit: statistics.round(all / limitSeconds),
     originCopies: statistics.round(observed.originBytes / rates.bytes),
-    bytesBetweenHalls: after.reduce((sum, status) => sum + countOf(status, 'otherHallBytes'), 0),
-    controlMessagesPerNode: perNode((status) => countOf(status, 'announcements')),
-    requestsPerNode: perNode((status) => countOf(status, 'requests')),
-    refusedPerNode: perNode((status) => countOf(status, 'refused')),
+    bytesBetweenHalls: after.reduce((sum, status) => sum + sumTransferCount(status, 'otherHallBytes'), 0),
+    controlMessagesPerNode: averagePerNode((status) => sumTransferCount(status, 'announcements')),
+    requestsPerNode: averagePerNode((status) => sumTransferCount(status, 'requests')),
+    refusedPerNode: averagePerNode((status) => sumTransferCount(status, 'refused')),
     cpuSecondsPerNode: statistics.round(cpu),
     cpuSecondsPerGigabyte: statistics.round(cpu * 1e9 / rates.bytes),
-    peakMebibytesPerNode: perNode((status) => status.process.peakResidentBytes / types.BYTES_IN_MEBIBYTE),
+    peakMebibytesPerNode: averagePerNode((status) => status.process.peakResidentBytes / types.BYTES_IN_MEBIBYTE),
     serving: times.length
   }
 }
--- a/packages/measure/src/runCapacity/index.ts
+++ b/packages/measure/src/runCapacity/index.ts
@@ -36,7 +36,7 @@
   readonly isBeyondMeasured: boolean
 }
 
-const TARGET = { halls: 8, entryNodesPerHall: 46, backendsPerHall: 138 }
+const TARGET_SHAPE = { halls: 8, entryNodesPerHall: 46, backendsPerHall: 138 }
 const BYTES_IN_KILOBYTE = 1000
 const MARKER = /(<!-- measured -->\n)[\s\S]*?(<!-- end -->)/
 
@@ -68,12 +68,12 @@
 }
 
 function summarise (shape: controlFleet.FleetShape, role: types.MemberRole, costs: readonly controlFleet.IdleCost[]): object {
-  const own = costs.filter((cost) => cost.role === role)
-  const average = (read: (cost: controlFleet.IdleCost) => number): number => statistics.round(statistics.mean(own.map(read)))
+  const ofRole = costs.filter((cost) => cost.role === role)
+  const average = (read: (cost: controlFleet.IdleCost) => number): number => statistics.round(statistics.mean(ofRole.map(read)))
   return {
     ...shape,
     role,
-    daemons: own.length,
+    daemons: ofRole.length,
     exchangesPerSecond: average((cost) => cost.exchangesPerSecond),
     bytesPerSecond: average((cost) => cost.bytesPerSecond),
     cpuPercent: average((cost) => cost.cpuPercent),
@@ -92,41 +92,41 @@
 /** Counts the exchanges of every daemon at the size aimed for with the daemons' own functions. */
 function predict (cpu: Fit, bytes: Fit, memory: Fit): CapacityRow[] {
   const fleet = makeTargetFleet()
-  const hallSize = TARGET.entryNodesPerHall + TARGET.backendsPerHall
+  const hallSize = TARGET_SHAPE.entryNodesPerHall + TARGET_SHAPE.backendsPerHall
   const perSecond = types.MILLISECONDS_IN_SECOND / membership.computeInterval(hallSize)
   const exchanges = new Map<string, number>()
-  const add = (node: string): void => { exchanges.set(node, (exchanges.get(node) ?? 0) + 1) }
+  const countExchange = (node: string): void => { exchanges.set(node, (exchanges.get(node) ?? 0) + 1) }
   for (const { facts } of fleet) {
     for (const target of membership.computeReportTargets(facts, fleet)) {
-      add(facts.node)
-      add(target.node)
+      countExchange(facts.node)
+      countExchange(target.node)
     }
   }
-  const hubs = new Set(Array.from({ length: TARGET.halls }, (_, hall) => membership.computeHubs(types.brandId<types.DataHallId>(`hall-${hall}`), fleet)).flat().map((facts) => facts.node))
-  const kinds: Array<[string, (member: membership.Member) => boolean]> = [
+  const hubs = new Set(Array.from({ length: TARGET_SHAPE.halls }, (_, hall) => membership.computeHubs(types.brandId<types.DataHallId>(`hall-${hall}`), fleet)).flat().map((facts) => facts.node))
+  const nodeKinds: Array<[string, (member: membership.Member) => boolean]> = [
     ['entry node that is a hub', ({ facts }) => hubs.has(facts.node)],
     ['other entry node', ({ facts }) => facts.role === 'entry' && !hubs.has(facts.node)],
     ['backend daemon', ({ facts }) => facts.role === 'backend']
   ]
-  return kinds.map(([role, isKind]) => {
+  return nodeKinds.map(([role, isKind]) => {
     const nodes = fleet.filter(isKind)
-    const most = Math.max(...nodes.map(({ facts }) => (exchanges.get(facts.node) ?? 0) * perSecond))
+    const maxExchangesPerSecond = Math.max(...nodes.map(({ facts }) => (exchanges.get(facts.node) ?? 0) * perSecond))
     return {
       role,
       count: nodes.length,
-      exchangesPerSecond: statistics.round(most, 1),
-      kilobytesPerSecond: statistics.round((bytes.base + bytes.slope * most) / BYTES_IN_KILOBYTE, 1),
-      cpuPercent: statistics.round(cpu.base + cpu.slope * most, 2),
+      exchangesPerSecond: statistics.round(maxExchangesPerSecond, 1),
+      kilobytesPerSecond: statistics.round((bytes.base + bytes.slope * maxExchangesPerSecond) / BYTES_IN_KILOBYTE, 1),
+      cpuPercent: statistics.round(cpu.base + cpu.slope * maxExchangesPerSecond, 2),
       residentMebibytes: statistics.round(memory.base + memory.slope * fleet.length, 0),
-      isBeyondMeasured: most > cpu.largest || fleet.length > memory.largest
+      isBeyondMeasured: maxExchangesPerSecond > cpu.largest || fleet.length > memory.largest
     }
   })
 }
 
 function makeTargetFleet (): membership.Member[] {
-  return Array.from({ length: TARGET.halls }, (_, hall) => [
-    ...Array.from({ length: TARGET.entryNodesPerHall }, (_entry, index) => makeMember(`entry-${hall}-${index}`, 'entry', hall)),
-    ...Array.from({ length: TARGET.backendsPerHall }, (_backend, index) => makeMember(`backend-${hall}-${index}`, 'backend', hall))
+  return Array.from({ length: TARGET_SHAPE.halls }, (_, hall) => [
+    ...Array.from({ length: TARGET_SHAPE.entryNodesPerHall }, (_entry, index) => makeMember(`entry-${hall}-${index}`, 'entry', hall)),
+    ...Array.from({ length: TARGET_SHAPE.backendsPerHall }, (_backend, index) => makeMember(`backend-${hall}-${index}`, 'backend', hall))
   ]).flat()
 }
 
--- a/packages/measure/src/runConfiguration/index.ts
+++ b/packages/measure/src/runConfiguration/index.ts
@@ -4,7 +4,7 @@
 import type * as platform from '@switchridge/store'
 import * as types from '@switchridge/types'
 import * as controlFleet from '../_lib/controlFleet.js'
-import * as cutHall from '../_lib/cutHall.js'
+import * as isolateHall from '../_lib/isolateHall.js'
 import * as editRow from '../_lib/editRow.js'
 import * as logTimes from '../_lib/logTimes.js'
 import type * as output from '../_lib/output.js'
@@ -30,9 +30,9 @@
 const SETTLE_MS = 4000
 const BETWEEN_EDITS_MS = 400
 const TIMEOUT_MS = 60_000
-const SLOW_MS = 1000
-const DOWN_MS = 10_000
-const CUT_MS = 4000
+const SLOW_ANSWER_MS = 1000
+const OUTAGE_MS = 10_000
+const ISOLATION_MS = 4000
 const FAULT_EDITS = 3
 
 /** Runs all scenarios. */
@@ -61,10 +61,10 @@
 
 function listScenarios (edits: number): Array<[string, Scenario]> {
   return [
-    ['platform-up', async (fleet, store) => await editSeveral(fleet, store, edits)],
-    ['platform-slow', async (fleet, store) => await withFault(fleet, { delayMs: SLOW_MS }, { delayMs: 0 }, async () => await editSeveral(fleet, store, FAULT_EDITS))],
-    ['after-platform-down', editAfterOutage],
-    ['after-hall-cut', editDuringCut]
+    ['platform-up', async (fleet, store) => await measureEdits(fleet, store, edits)],
+    ['platform-slow', async (fleet, store) => await withFault(fleet, { delayMs: SLOW_ANSWER_MS }, { delayMs: 0 }, async () => await measureEdits(fleet, store, FAULT_EDITS))],
+    ['after-platform-down', measureEditAfterOutage],
+    ['after-hall-cut', measureEditDuringIsolation]
   ]
 }
 
@@ -72,57 +72,57 @@
   await got.got.put(`${fleet.platformUrl}/admin/faults`, { json: faults })
 }
 
-async function withFault<Result> (fleet: launcher.Fleet, faults: object, none: object, run: () => Promise<Result>): Promise<Result> {
+async function withFault<Result> (fleet: launcher.Fleet, faults: object, clearedFaults: object, run: () => Promise<Result>): Promise<Result> {
   await setFaults(fleet, faults)
   const result = await run()
-  await setFaults(fleet, none)
+  await setFaults(fleet, clearedFaults)
   return result
 }
 
-async function editSeveral (fleet: launcher.Fleet, store: platform.ObjectStore, edits: number): Promise<number[]> {
+async function measureEdits (fleet: launcher.Fleet, store: platform.ObjectStore, edits: number): Promise<number[]> {
   const delays: number[] = []
   for (let edit = 0; edit < edits; edit += 1) {
-    delays.push(await editOnce(fleet, store))
+    delays.push(await measureEdit(fleet, store))
     await types.delay(BETWEEN_EDITS_MS)
   }
   return delays
 }
 
-let edits = 0
+let editCount = 0
 
-async function edit (store: platform.ObjectStore): Promise<number> {
-  edits += 1
-  return await editRow.editRow(store, 'services', 'llm', { kind: 'engine', queue: edits })
+async function editQueueLength (store: platform.ObjectStore): Promise<number> {
+  editCount += 1
+  return await editRow.editRow(store, 'services', 'llm', { kind: 'engine', queue: editCount })
 }
 
-async function editOnce (fleet: launcher.Fleet, store: platform.ObjectStore): Promise<number> {
-  const revision = await edit(store)
-  return await awaitEverywhere(fleet, revision, Date.now())
+async function measureEdit (fleet: launcher.Fleet, store: platform.ObjectStore): Promise<number> {
+  const revision = await editQueueLength(store)
+  return await waitForAdoption(fleet, revision, Date.now())
 }
 
 /** Seconds from `since` until the last daemon's log says that it adopted the revision or a later one. */
-async function awaitEverywhere (fleet: launcher.Fleet, revision: number, since: number): Promise<number> {
-  const adopted = (node: launcher.FleetNode): number[] => logTimes.readEventTimes(node.process.logFile, 'table-adopted', `revision=${revision} `)
-  await launcher.waitUntil(() => fleet.nodes.every((node) => adopted(node).length > 0), TIMEOUT_MS, `revision ${revision} everywhere`)
-  return (Math.max(...fleet.nodes.map((node) => adopted(node)[0] ?? 0)) - since) / types.MILLISECONDS_IN_SECOND
+async function waitForAdoption (fleet: launcher.Fleet, revision: number, since: number): Promise<number> {
+  const readAdoptionTimes = (node: launcher.FleetNode): number[] => logTimes.readEventTimes(node.process.logFile, 'table-adopted', `revision=${revision} `)
+  await launcher.waitUntil(() => fleet.nodes.every((node) => readAdoptionTimes(node).length > 0), TIMEOUT_MS, `revision ${revision} everywhere`)
+  return (Math.max(...fleet.nodes.map((node) => readAdoptionTimes(node)[0] ?? 0)) - since) / types.MILLISECONDS_IN_SECOND
 }
 
 /** The platform is down for a while; the edit comes as soon as it is back. */
-async function editAfterOutage (fleet: launcher.Fleet, store: platform.ObjectStore): Promise<number[]> {
+async function measureEditAfterOutage (fleet: launcher.Fleet, store: platform.ObjectStore): Promise<number[]> {
   await setFaults(fleet, { isDown: true })
-  await types.delay(DOWN_MS)
+  await types.delay(OUTAGE_MS)
   await setFaults(fleet, { isDown: false })
-  return [await editOnce(fleet, store)]
+  return [await measureEdit(fleet, store)]
 }
 
 /** A hall is cut off from the others and the platform while an edit is made; counted from the healing on. */
-async function editDuringCut (fleet: launcher.Fleet, store: platform.ObjectStore): Promise<number[]> {
+async function measureEditDuringIsolation (fleet: launcher.Fleet, store: platform.ObjectStore): Promise<number[]> {
   const hall = fleet.nodes.at(-1)?.hall ?? ''
   const platformEndpoint = fleet.platformUrl.replace('http://', '')
-  await cutHall.cutHall(fleet, hall, [platformEndpoint])
-  const revision = await edit(store)
-  await types.delay(CUT_MS)
-  const healedAt = Date.now()
-  await cutHall.healHall(fleet)
-  return [await awaitEverywhere(fleet, revision, healedAt)]
+  await isolateHall.isolateHall(fleet, hall, [platformEndpoint])
+  const revision = await editQueueLength(store)
+  await types.delay(ISOLATION_MS)
+  const reconnectedAt = Date.now()
+  await isolateHall.reconnectHall(fleet)
+  return [await waitForAdoption(fleet, revision, reconnectedAt)]
 }
--- a/packages/measure/src/runRouting/index.ts
+++ b/packages/measure/src/runRouting/index.ts
@@ -45,11 +45,11 @@
 const WARM_UP_LOAD = 0.5
 const CALL_TIMEOUT_MS = 20_000
 const SMALL_CALLS_PER_SECOND = 8
-const KEYS = { large: 'key-of-the-large-account', small: 'key-of-the-small-account' } as const
+const API_KEYS = { large: 'key-of-the-large-account', small: 'key-of-the-small-account' } as const
 
-type Account = keyof typeof KEYS
+type Account = keyof typeof API_KEYS
 
-interface Outcome {
+interface CallOutcome {
   readonly account: Account
   readonly outcome: string
   readonly delayMs: number
@@ -63,7 +63,7 @@
     try {
       const fleet = await startRoutingFleet(processes, policy, entryNodes)
       const agents = rpc.createHttpAgents()
-      await sendLoad(fleet, agents, arrivals.drawArrivals(options.seed, rateOf(WARM_UP_LOAD), WARM_UP_SECONDS, MEAN_SERVICE_MS), 'large')
+      await sendLoad(fleet, agents, arrivals.drawArrivals(options.seed, computeCallRate(WARM_UP_LOAD), WARM_UP_SECONDS, MEAN_SERVICE_MS), 'large')
       for (const load of options.loads) {
         const result = await runLoad(fleet, agents, options, { policy, entryNodes, load })
         results.push(result)
@@ -71,7 +71,7 @@
       }
       if (policy === options.policies[0] && entryNodes === options.entryNodes[0]) {
         out.add(await measureFairness(fleet, agents, options))
-        out.add(await measureAddedDelay(fleet, agents))
+        out.add(await measureAddedLatency(fleet, agents))
       }
       agents.destroy()
     } finally {
@@ -88,7 +88,7 @@
   return [...options.policies.map((each): [string, number] => [each, first]), ...options.entryNodes.slice(1).map((each): [string, number] => [policy, each])]
 }
 
-function rateOf (load: number): number {
+function computeCallRate (load: number): number {
   return load * BACKENDS * SLOTS * types.MILLISECONDS_IN_SECOND / MEAN_SERVICE_MS
 }
 
@@ -107,12 +107,12 @@
   })
   const store = editRow.openStore(fleet)
   await editRow.editRow(store, 'services', SERVICE, { kind: 'plain', repeatable: 'none', concurrency: SLOTS, queue: QUEUE, retryBudget: 0.08 })
-  for (const [account, key] of Object.entries(KEYS)) await editRow.editRow(store, 'accounts', account, { keyDigest: crypto.createHash('sha256').update(key).digest('hex') })
+  for (const [account, key] of Object.entries(API_KEYS)) await editRow.editRow(store, 'accounts', account, { keyDigest: crypto.createHash('sha256').update(key).digest('hex') })
   await types.delay(SETTLE_MS)
   return fleet
 }
 
-async function sendLoad (fleet: launcher.Fleet, agents: rpc.HttpAgents, calls: readonly arrivals.Arrival[], account: Account): Promise<Outcome[]> {
+async function sendLoad (fleet: launcher.Fleet, agents: rpc.HttpAgents, calls: readonly arrivals.Arrival[], account: Account): Promise<CallOutcome[]> {
   const startedAt = performance.now()
   return await Promise.all(calls.map(async (call, index) => {
     await types.delay(call.at - (performance.now() - startedAt))
@@ -121,9 +121,9 @@
   }))
 }
 
-async function sendCall (agents: rpc.HttpAgents, base: string, path: string, serviceMs: number, account: Account): Promise<Outcome> {
+async function sendCall (agents: rpc.HttpAgents, base: string, path: string, serviceMs: number, account: Account): Promise<CallOutcome> {
   const sentAt = performance.now()
-  const headers = { authorization: `Bearer ${KEYS[account]}`, 'x-work-ms': serviceMs, 'x-request-id': crypto.randomUUID() }
+  const headers = { authorization: `Bearer ${API_KEYS[account]}`, 'x-work-ms': serviceMs, 'x-request-id': crypto.randomUUID() }
   const answer = await rpc.sendRequest(agents, { base, path, method: 'POST', headers, body: '{}', timeoutMs: CALL_TIMEOUT_MS })
   return { account, outcome: answer.ok ? String(answer.value.headers['x-switchridge-outcome'] ?? 'answered') : 'broken', delayMs: performance.now() - sentAt }
 }
@@ -144,25 +144,25 @@
   }
 }
 
-async function runLoad (fleet: launcher.Fleet, agents: rpc.HttpAgents, options: RoutingOptions, kind: Pick<RoutingResult, 'policy' | 'entryNodes' | 'load'>): Promise<RoutingResult> {
-  const calls = arrivals.drawArrivals(options.seed, rateOf(kind.load), options.seconds, MEAN_SERVICE_MS)
+async function runLoad (fleet: launcher.Fleet, agents: rpc.HttpAgents, options: RoutingOptions, trial: Pick<RoutingResult, 'policy' | 'entryNodes' | 'load'>): Promise<RoutingResult> {
+  const calls = arrivals.drawArrivals(options.seed, computeCallRate(trial.load), options.seconds, MEAN_SERVICE_MS)
   const before = await readUsage(fleet)
   const outcomes = await sendLoad(fleet, agents, calls, 'large')
   const after = await readUsage(fleet)
-  const delays = delaysOf(outcomes)
-  const ideal = arrivals.computeSharedQueue(calls, BACKENDS * SLOTS)
-  const countOf = (outcome: string): number => outcomes.filter((each) => each.outcome === outcome).length
-  const [answered, notRun] = [countOf('answered'), countOf('not-run')]
+  const delays = listAnsweredDelays(outcomes)
+  const sharedQueueDelays = arrivals.computeSharedQueueDelays(calls, BACKENDS * SLOTS)
+  const countOutcome = (outcome: string): number => outcomes.filter((each) => each.outcome === outcome).length
+  const [answered, notRun] = [countOutcome('answered'), countOutcome('not-run')]
   const perCall = (seconds: number): number => statistics.round(seconds * 1_000_000 / calls.length, 0)
   return {
-    ...kind,
+    ...trial,
     calls: calls.length,
     answered,
     notRun,
     other: calls.length - answered - notRun,
     p50: statistics.round(statistics.quantile(delays, 0.5), 1),
     p99: statistics.round(statistics.quantile(delays, 0.99), 1),
-    p99OverSharedQueue: statistics.round(statistics.quantile(delays, 0.99) / statistics.quantile(ideal, 0.99)),
+    p99OverSharedQueue: statistics.round(statistics.quantile(delays, 0.99) / statistics.quantile(sharedQueueDelays, 0.99)),
     callsPerSecondAnswered: statistics.round(answered / options.seconds, 1),
     attemptsPerCall: statistics.round((after.attempts - before.attempts) / calls.length),
     entryCpuMicroseconds: perCall(after.entryCpu - before.entryCpu),
@@ -170,31 +170,31 @@
   }
 }
 
-function delaysOf (outcomes: readonly Outcome[]): number[] {
+function listAnsweredDelays (outcomes: readonly CallOutcome[]): number[] {
   return outcomes.filter((each) => each.outcome === 'answered').map((each) => each.delayMs)
 }
 
 /** A small account alone, and beside a large one that floods. */
 async function measureFairness (fleet: launcher.Fleet, agents: rpc.HttpAgents, options: RoutingOptions): Promise<object> {
   const small = arrivals.drawArrivals(options.seed + 1, SMALL_CALLS_PER_SECOND, 2 * options.seconds, MEAN_SERVICE_MS)
-  const flood = arrivals.drawArrivals(options.seed + 2, rateOf(1.3), 2 * options.seconds, MEAN_SERVICE_MS)
+  const flood = arrivals.drawArrivals(options.seed + 2, computeCallRate(1.3), 2 * options.seconds, MEAN_SERVICE_MS)
   const alone = await sendLoad(fleet, agents, small, 'small')
-  const [beside] = await Promise.all([sendLoad(fleet, agents, small, 'small'), sendLoad(fleet, agents, flood, 'large')])
-  const [aloneP99, besideP99] = [statistics.quantile(delaysOf(alone), 0.99), statistics.quantile(delaysOf(beside), 0.99)]
-  return { fairness: true, calls: small.length, answeredBeside: delaysOf(beside).length, aloneP99: statistics.round(aloneP99, 1), besideP99: statistics.round(besideP99, 1), smallP99OverAlone: statistics.round(besideP99 / aloneP99) }
+  const [contended] = await Promise.all([sendLoad(fleet, agents, small, 'small'), sendLoad(fleet, agents, flood, 'large')])
+  const [p99Alone, p99Contended] = [statistics.quantile(listAnsweredDelays(alone), 0.99), statistics.quantile(listAnsweredDelays(contended), 0.99)]
+  return { fairness: true, calls: small.length, answeredBeside: listAnsweredDelays(contended).length, aloneP99: statistics.round(p99Alone, 1), besideP99: statistics.round(p99Contended, 1), smallP99OverAlone: statistics.round(p99Contended / p99Alone) }
 }
 
-const PROBES = 400
+const PROBE_COUNT = 400
 
 /** One call after the other that does almost no work, directly and through entry node and daemon. */
-async function measureAddedDelay (fleet: launcher.Fleet, agents: rpc.HttpAgents): Promise<object> {
+async function measureAddedLatency (fleet: launcher.Fleet, agents: rpc.HttpAgents): Promise<object> {
   const direct: number[] = []
-  const through: number[] = []
+  const throughEntry: number[] = []
   const entry = fleet.entryNodes[0]
-  for (let probe = 0; probe < PROBES; probe += 1) {
+  for (let probe = 0; probe < PROBE_COUNT; probe += 1) {
     direct.push((await sendCall(agents, fleet.backends[0]?.backEndUrl ?? '', '/task', 1, 'small')).delayMs)
-    through.push((await sendCall(agents, `http://${entry?.address.host ?? ''}:${entry?.callerPort ?? 0}`, `/services/${SERVICE}/task`, 1, 'small')).delayMs)
+    throughEntry.push((await sendCall(agents, `http://${entry?.address.host ?? ''}:${entry?.callerPort ?? 0}`, `/services/${SERVICE}/task`, 1, 'small')).delayMs)
   }
-  const added = (part: number): number => statistics.round(statistics.quantile(through, part) - statistics.quantile(direct, part), 2)
-  return { addedDelay: true, addedP50: added(0.5), addedP99: added(0.99) }
+  const computeAdded = (probability: number): number => statistics.round(statistics.quantile(throughEntry, probability) - statistics.quantile(direct, probability), 2)
+  return { addedDelay: true, addedP50: computeAdded(0.5), addedP99: computeAdded(0.99) }
 }
--- a/packages/standins/src/createEngineStandIn/index.ts
+++ b/packages/standins/src/createEngineStandIn/index.ts
@@ -69,7 +69,7 @@
     return given.sequence <= fence.sequence
   }
 
-  async function takeOrder (context: Koa.Context): Promise<void> {
+  async function handleOrder (context: Koa.Context): Promise<void> {
     const body = await rpc.readJson(context.req)
     const order = body.ok ? orderSchema.safeParse(body.value) : null
     if (order?.success !== true) {
@@ -94,11 +94,11 @@
     if (!options.readsWeights || order.source === undefined) return { bytes: null, fileDigest: '' }
     const hash = crypto.createHash('sha256')
     const bytes = Buffer.allocUnsafe(order.bytes ?? 0)
-    let filled = 0
+    let offset = 0
     for await (const part of got.got.stream(order.source, { retry: { limit: 0 }, decompress: false }) as AsyncIterable<Buffer>) {
       hash.update(part)
-      part.copy(bytes, filled)
-      filled += part.length
+      part.copy(bytes, offset)
+      offset += part.length
     }
     return { bytes, fileDigest: hash.digest('hex') }
   }
@@ -117,10 +117,10 @@
     runs.set(id, (runs.get(id) ?? 0) + 1)
     context.set('x-engine-version', manifest)
     context.type = 'application/x-ndjson'
-    context.body = stream.Readable.from(writeTokens(version, manifest, parsed.data), { objectMode: false })
+    context.body = stream.Readable.from(streamTokens(version, manifest, parsed.data), { objectMode: false })
   }
 
-  async function * writeTokens (version: LoadedVersion, manifest: string, call: zod.infer<typeof generateSchema>): AsyncGenerator<string> {
+  async function * streamTokens (version: LoadedVersion, manifest: string, call: zod.infer<typeof generateSchema>): AsyncGenerator<string> {
     const tokenMs = (call.workMs === undefined ? options.tokenMs : call.workMs / call.tokens) * faults.slowFactor
     let sent = 0
     counts.running += 1
@@ -143,7 +143,7 @@
   app.on('error', () => {})
   app.use(admin.createAdmin(faults, () => ({ ...counts, versions: [...versions.keys()], repeatedRuns: [...runs.values()].filter((count) => count > 1).length })))
   app.use(async (context) => {
-    if (context.path === '/orders' && context.method === 'POST') await takeOrder(context)
+    if (context.path === '/orders' && context.method === 'POST') await handleOrder(context)
     else if (context.path === '/generate' && context.method === 'POST') await generate(context)
     else if (context.path === '/load') context.body = { running: counts.running }
   })
--- a/packages/standins/src/createLinkNetwork/index.ts
+++ b/packages/standins/src/createLinkNetwork/index.ts
@@ -99,57 +99,57 @@
   const hosts = new Map(options.hosts.map((each) => [each.host, each]))
   const links = new Map<string, Link>()
   const sockets = new Map<string, (bytes: Buffer, from: string) => void>()
-  const received = new Map<string, number>()
-  const cutHosts = new Set<string>()
-  const cutRegions = new Set<string>()
+  const receivedBytes = new Map<string, number>()
+  const disconnectedHosts = new Set<string>()
+  const isolatedRegions = new Set<string>()
   const counts: NetworkCounts = { datagrams: 0, droppedDatagrams: 0, bytes: 0, regionBytes: 0 }
 
-  function linkOf (name: string, bytesPerMs: number): Link {
-    const known = links.get(name)
-    if (known !== undefined) return known
+  function findOrCreateLink (name: string, bytesPerMs: number): Link {
+    const existing = links.get(name)
+    if (existing !== undefined) return existing
     const link: Link = { bytesPerMs, freeAt: 0, queue: new Set() }
     links.set(name, link)
     return link
   }
 
-  function find (host: string): NetworkHost {
+  function findHost (host: string): NetworkHost {
     const found = hosts.get(host)
     if (found === undefined) throw new Error(`no host ${host} in this network`)
     return found
   }
 
-  function isFar (from: string, to: string): boolean {
-    return find(from).region !== find(to).region
+  function isInterRegion (from: string, to: string): boolean {
+    return findHost(from).region !== findHost(to).region
   }
 
-  function pathOf (from: string, to: string): Link[] {
-    const [sender, receiver] = [find(from), find(to)]
-    const path = [linkOf(`out ${from}`, sender.bytesPerMs)]
-    if (isFar(from, to)) path.push(linkOf(`${sender.region} to ${receiver.region}`, options.regionBytesPerMs))
-    path.push(linkOf(`in ${to}`, receiver.bytesPerMs))
+  function listLinks (from: string, to: string): Link[] {
+    const [sender, receiver] = [findHost(from), findHost(to)]
+    const path = [findOrCreateLink(`out ${from}`, sender.bytesPerMs)]
+    if (isInterRegion(from, to)) path.push(findOrCreateLink(`${sender.region} to ${receiver.region}`, options.regionBytesPerMs))
+    path.push(findOrCreateLink(`in ${to}`, receiver.bytesPerMs))
     return path
   }
 
-  function count (from: string, to: string, bytes: number): void {
+  function countReceived (from: string, to: string, bytes: number): void {
     counts.bytes += bytes
-    if (isFar(from, to)) counts.regionBytes += bytes
-    received.set(to, (received.get(to) ?? 0) + bytes)
+    if (isInterRegion(from, to)) counts.regionBytes += bytes
+    receivedBytes.set(to, (receivedBytes.get(to) ?? 0) + bytes)
   }
 
   /** Takes a packet over one link after the other; `onArrival` is called at its end, `onDrop` if a queue is too long. */
-  function forward (path: readonly Link[], at: number, bytes: number, longestQueueMs: number, delayMs: number, onArrival: () => void, onDrop: () => void): void {
-    const link = path[at]
+  function forward (path: readonly Link[], hop: number, bytes: number, maxQueueMs: number, delayMs: number, onArrival: () => void, onDrop: () => void): void {
+    const link = path[hop]
     if (link === undefined) {
       setTimeout(onArrival, delayMs)
       return
     }
     const startsAt = Math.max(options.now(), link.freeAt)
-    if (startsAt - options.now() > longestQueueMs) {
+    if (startsAt - options.now() > maxQueueMs) {
       onDrop()
       return
     }
     link.freeAt = startsAt + bytes / link.bytesPerMs
-    enqueue(link, link.freeAt, () => { forward(path, at + 1, bytes, longestQueueMs, delayMs, onArrival, onDrop) })
+    enqueue(link, link.freeAt, () => { forward(path, hop + 1, bytes, maxQueueMs, delayMs, onArrival, onDrop) })
   }
 
   function enqueue (link: Link, sentAt: number, onSent: () => void): void {
@@ -176,85 +176,85 @@
     }
   }
 
-  function isCut (from: string, to: string): boolean {
-    if (cutHosts.has(from) || cutHosts.has(to)) return true
-    return isFar(from, to) && [from, to].some((host) => cutRegions.has(hosts.get(host)?.region ?? ''))
+  function isDisconnected (from: string, to: string): boolean {
+    if (disconnectedHosts.has(from) || disconnectedHosts.has(to)) return true
+    return isInterRegion(from, to) && [from, to].some((host) => isolatedRegions.has(hosts.get(host)?.region ?? ''))
   }
 
-  function delayMs (from: string, to: string): number {
-    return isFar(from, to) ? options.farMs : options.nearMs
+  function getDelayMs (from: string, to: string): number {
+    return isInterRegion(from, to) ? options.farMs : options.nearMs
   }
 
   function sendDatagram (from: string, to: string, bytes: Buffer): void {
     counts.datagrams += 1
-    if (!hosts.has(to) || isCut(from, to)) return
+    if (!hosts.has(to) || isDisconnected(from, to)) return
     const size = bytes.length + HEADER_BYTES
     const drop = (): void => { counts.droppedDatagrams += 1 }
-    forward(pathOf(from, to), 0, size, DATAGRAM_QUEUE_MS, delayMs(from, to), () => {
-      if (isCut(from, to)) return
-      count(from, to, size)
+    forward(listLinks(from, to), 0, size, DATAGRAM_QUEUE_MS, getDelayMs(from, to), () => {
+      if (isDisconnected(from, to)) return
+      countReceived(from, to, size)
       sockets.get(to)?.(bytes, from)
     }, drop)
   }
 
   async function carry (from: string, to: string, bytes: number, limits: StreamLimits = {}): Promise<boolean> {
-    const path = pathOf(from, to)
+    const path = listLinks(from, to)
     let unsent = bytes
-    let underWay = 0
-    let hasEnded = false
+    let inFlight = 0
+    let isFinished = false
     return await new Promise((resolve) => {
-      const wholeTimer = limits.wholeMs === undefined ? undefined : setTimeout(() => { end(false) }, limits.wholeMs)
-      let quietTimer = watchSilence()
+      const totalTimer = limits.wholeMs === undefined ? undefined : setTimeout(() => { end(false) }, limits.wholeMs)
+      let idleTimer = startIdleTimer()
 
-      function watchSilence (): NodeJS.Timeout | undefined {
+      function startIdleTimer (): NodeJS.Timeout | undefined {
         return limits.quietMs === undefined ? undefined : setTimeout(() => { end(false) }, limits.quietMs)
       }
 
-      function end (isWhole: boolean): void {
-        hasEnded = true
-        clearTimeout(wholeTimer)
-        clearTimeout(quietTimer)
-        resolve(isWhole)
+      function end (isComplete: boolean): void {
+        isFinished = true
+        clearTimeout(totalTimer)
+        clearTimeout(idleTimer)
+        resolve(isComplete)
       }
 
-      function next (): void {
-        if (hasEnded) return
-        while (unsent > 0 && underWay < WINDOW_PACKETS) {
+      function sendNext (): void {
+        if (isFinished) return
+        while (unsent > 0 && inFlight < WINDOW_PACKETS) {
           const size = Math.min(PACKET_BYTES, unsent)
           unsent -= size
-          underWay += 1
-          forward(path, 0, size, Infinity, delayMs(from, to), () => { arrive(size) }, () => {})
+          inFlight += 1
+          forward(path, 0, size, Infinity, getDelayMs(from, to), () => { onPacketArrival(size) }, () => {})
         }
       }
 
-      function arrive (size: number): void {
-        if (isCut(from, to)) return
-        count(from, to, size)
+      function onPacketArrival (size: number): void {
+        if (isDisconnected(from, to)) return
+        countReceived(from, to, size)
         limits.onBytes?.(size)
-        underWay -= 1
-        if (hasEnded) return
-        clearTimeout(quietTimer)
-        quietTimer = watchSilence()
-        if (unsent === 0 && underWay === 0) end(true)
-        else next()
+        inFlight -= 1
+        if (isFinished) return
+        clearTimeout(idleTimer)
+        idleTimer = startIdleTimer()
+        if (unsent === 0 && inFlight === 0) end(true)
+        else sendNext()
       }
 
       limits.signal?.addEventListener('abort', () => { end(false) }, { once: true })
-      next()
+      sendNext()
     })
   }
 
   return {
     carry,
     counts,
-    received: (host) => received.get(host) ?? 0,
-    cut: (host) => { cutHosts.add(host) },
-    join: (host) => { cutHosts.delete(host) },
+    received: (host) => receivedBytes.get(host) ?? 0,
+    cut: (host) => { disconnectedHosts.add(host) },
+    join: (host) => { disconnectedHosts.delete(host) },
     setRate: (host, bytesPerMs) => {
-      for (const name of [`out ${host}`, `in ${host}`]) changeRate(linkOf(name, bytesPerMs), bytesPerMs)
+      for (const name of [`out ${host}`, `in ${host}`]) changeRate(findOrCreateLink(name, bytesPerMs), bytesPerMs)
     },
-    cutRegion: (region) => { cutRegions.add(region) },
-    joinRegion: (region) => { cutRegions.delete(region) },
+    cutRegion: (region) => { isolatedRegions.add(region) },
+    joinRegion: (region) => { isolatedRegions.delete(region) },
     openDatagrams: (host, onDatagram) => {
       sockets.set(host, onDatagram)
       return { send: (to, bytes) => { sendDatagram(host, to, bytes) }, close: () => { sockets.delete(host) } }
--- a/packages/standins/src/createLinkNetwork/test.ts
+++ b/packages/standins/src/createLinkNetwork/test.ts
@@ -4,23 +4,23 @@
 
 const HOSTS = ['a', 'b', 'c'].map((host) => ({ host, region: host === 'c' ? 'west' : 'east', bytesPerMs: 100 }))
 
-function open (context: nodeTest.TestContext): createLinkNetwork.LinkNetwork {
+function createNetwork (context: nodeTest.TestContext): createLinkNetwork.LinkNetwork {
   context.mock.timers.enable({ apis: ['setTimeout', 'Date'] })
   return createLinkNetwork.createLinkNetwork({ hosts: HOSTS, regionBytesPerMs: 50, nearMs: 1, farMs: 3, now: Date.now })
 }
 
-async function pass (context: nodeTest.TestContext, milliseconds: number): Promise<void> {
-  for (let passed = 0; passed < milliseconds; passed += 1) {
+async function advance (context: nodeTest.TestContext, milliseconds: number): Promise<void> {
+  for (let elapsedMs = 0; elapsedMs < milliseconds; elapsedMs += 1) {
     context.mock.timers.tick(1)
     await new Promise((resolve) => { setImmediate(resolve) })
   }
 }
 
 nodeTest.test('two streams share a link, and a stream between regions takes the narrower one', async (context) => {
-  const network = open(context)
+  const network = createNetwork(context)
   const doneAt: number[] = []
   for (const to of ['b', 'c']) void network.carry('a', to, 100_000).then(() => { doneAt.push(Date.now()) })
-  await pass(context, 3000)
+  await advance(context, 3000)
   assert.equal(doneAt.length, 2)
   const [first, last] = doneAt as [number, number]
   assert.ok(first >= 1400, `${first} ms for 100 kB over a link of 100 kB a second that another stream shares`)
@@ -29,19 +29,19 @@
 })
 
 nodeTest.test('a datagram is dropped by a full link, and nothing arrives at a host that is cut off', async (context) => {
-  const network = open(context)
-  const heard: string[] = []
-  network.openDatagrams('b', (bytes, from) => { heard.push(`${from}: ${bytes.toString()}`) })
+  const network = createNetwork(context)
+  const receivedDatagrams: string[] = []
+  network.openDatagrams('b', (bytes, from) => { receivedDatagrams.push(`${from}: ${bytes.toString()}`) })
   const socket = network.openDatagrams('a', () => {})
   socket.send('b', Buffer.from('first'))
-  await pass(context, 5)
+  await advance(context, 5)
   network.cut('b')
   socket.send('b', Buffer.from('second'))
-  await pass(context, 5)
+  await advance(context, 5)
   network.join('b')
   for (let sent = 0; sent < 20; sent += 1) socket.send('b', Buffer.alloc(2000))
-  await pass(context, 1000)
-  assert.equal(heard[0], 'a: first')
-  assert.ok(!heard.includes('a: second'))
+  await advance(context, 1000)
+  assert.equal(receivedDatagrams[0], 'a: first')
+  assert.ok(!receivedDatagrams.includes('a: second'))
   assert.ok(network.counts.droppedDatagrams > 0)
 })
--- a/packages/standins/src/createOriginStandIn/index.ts
+++ b/packages/standins/src/createOriginStandIn/index.ts
@@ -58,23 +58,23 @@
     }
     const file = body.value as PublishedFile
     const bytes = computeWeights.computeWeights(file.parts)
-    const known = files.get(file.name)
-    const manifest = file.keepManifest === true && known !== undefined
-      ? known.manifest
+    const existing = files.get(file.name)
+    const manifest = file.keepManifest === true && existing !== undefined
+      ? existing.manifest
       : transfer.formatManifest(await transfer.createManifest([bytes], file.chunkBytes))
     files.set(file.name, { bytes, manifest })
     context.body = { manifest: transfer.computeDigest(manifest), bytes: bytes.length }
   }
 
-  async function * sendSlices (bytes: Buffer, number: number): AsyncGenerator<Buffer> {
+  async function * streamSlices (bytes: Buffer, number: number): AsyncGenerator<Buffer> {
     const breakAt = bytes.length / 2
     for (let offset = 0; offset < bytes.length; offset += SLICE_BYTES) {
       if (offset >= breakAt && faults.stall) await timers.setTimeout(STALL_MS, undefined, { ref: false })
-      if (offset >= breakAt && isNth(number, faults.closeEvery)) throw new Error('closed in mid-range')
+      if (offset >= breakAt && isEveryNth(number, faults.closeEvery)) throw new Error('closed in mid-range')
       const slice = bytes.subarray(offset, offset + SLICE_BYTES)
       await link.take(slice.length)
       counts.bytes += slice.length
-      yield isNth(number, faults.corruptEvery) && offset === 0 ? corrupt(slice) : slice
+      yield isEveryNth(number, faults.corruptEvery) && offset === 0 ? flipFirstBit(slice) : slice
     }
   }
 
@@ -91,7 +91,7 @@
     context.length = to - from + 1
     context.set('content-range', `bytes ${from}-${to}/${file.bytes.length}`)
     context.type = 'application/octet-stream'
-    context.body = stream.Readable.from(sendSlices(file.bytes.subarray(from, to + 1), counts.requests), { objectMode: false, highWaterMark: SLICE_BYTES })
+    context.body = stream.Readable.from(streamSlices(file.bytes.subarray(from, to + 1), counts.requests), { objectMode: false, highWaterMark: SLICE_BYTES })
   }
 
   app.on('error', () => {})
@@ -119,12 +119,12 @@
   return app
 }
 
-function isNth (number: number, every: number): boolean {
+function isEveryNth (number: number, every: number): boolean {
   return every > 0 && number % every === 0
 }
 
-function corrupt (slice: Buffer): Buffer {
-  const wrong = Buffer.from(slice)
-  wrong[0] = (wrong[0] ?? 0) ^ 1
-  return wrong
+function flipFirstBit (slice: Buffer): Buffer {
+  const corrupted = Buffer.from(slice)
+  corrupted[0] = (corrupted[0] ?? 0) ^ 1
+  return corrupted
 }
--- a/packages/standins/src/createPlainStandIn/index.ts
+++ b/packages/standins/src/createPlainServiceStandIn/index.ts
@@ -5,14 +5,14 @@
 import * as admin from '../_lib/admin.js'
 
 /** Faults of a plain service. */
-export interface PlainFaults {
+export interface PlainServiceFaults {
   /** Milliseconds of work for each request. */
   workMs: number
   /** Runs the request and then breaks the connection, for every n-th; 0 for none. */
   loseEvery: number
 }
 
-const MAXIMUM_BODY_BYTES = 8 * 1024 * 1024
+const MAX_BODY_BYTES = 8 * 1024 * 1024
 
 /**
  * Creates the stand-in of a plain service.
@@ -20,9 +20,9 @@
  * @param workMs - Milliseconds of work for each request.
  * @returns A koa application.
  */
-export function createPlainStandIn (workMs: number): Koa {
+export function createPlainServiceStandIn (workMs: number): Koa {
   const app = new Koa()
-  const faults: PlainFaults = { workMs, loseEvery: 0 }
+  const faults: PlainServiceFaults = { workMs, loseEvery: 0 }
   const runs = new Map<string, number>()
   let requests = 0
 
@@ -30,21 +30,21 @@
   app.use(admin.createAdmin(faults, () => ({ requests, runs: Object.fromEntries(runs) })))
   app.use(async (context) => {
     requests += 1
-    const number = requests
+    const requestNumber = requests
     const id = context.get('x-request-id')
-    const body = await rpc.readBody(context.req, MAXIMUM_BODY_BYTES)
+    const body = await rpc.readBody(context.req, MAX_BODY_BYTES)
     if (!body.ok) {
       context.status = 413
       return
     }
-    const ran = (runs.get(id) ?? 0) + 1
-    runs.set(id, ran)
+    const runCount = (runs.get(id) ?? 0) + 1
+    runs.set(id, runCount)
     await timers.setTimeout(Number(context.get('x-work-ms')) || faults.workMs)
-    if (faults.loseEvery > 0 && number % faults.loseEvery === 0) {
+    if (faults.loseEvery > 0 && requestNumber % faults.loseEvery === 0) {
       context.req.socket.destroy()
       return
     }
-    context.body = { id, ran, method: context.method, path: context.path, body: body.value.toString('utf8') }
+    context.body = { id, ran: runCount, method: context.method, path: context.path, body: body.value.toString('utf8') }
   })
   return app
 }
--- a/packages/standins/src/createPlatformStandIn/index.ts
+++ b/packages/standins/src/createPlatformStandIn/index.ts
@@ -18,7 +18,7 @@
 
 const READS_PER_SECOND = 2000
 const WRITES_PER_SECOND = 100
-const WATCH_LIMIT_MS = 10_000
+const WATCH_TIMEOUT_MS = 10_000
 const OBJECT_PATH = /^\/objects\/([\w-]+)\/([^/]+)$/
 const LIST_PATH = /^\/objects\/([\w-]+)$/
 const WATCH_PATH = /^\/watch\/([\w-]+)\/([^/]+)$/
@@ -30,7 +30,7 @@
 }
 
 /** Holds one second's worth of calls. */
-function createBucket (perSecond: number): types.TokenBucket {
+function createRateLimiter (perSecond: number): types.TokenBucket {
   return types.createTokenBucket({ perSecond, capacity: perSecond, tokens: perSecond, now: () => performance.now() })
 }
 
@@ -44,13 +44,13 @@
   const store = platform.createMemoryObjectStore()
   const faults: PlatformFaults = { isDown: false, delayMs: 0, loseAnswers: 0, nodeLagMs: 3000 }
   const counts: Record<string, number> = { read: 0, write: 0, list: 0, watch: 0, nodes: 0, limited: 0 }
-  const reads = createBucket(READS_PER_SECOND)
-  const writes = createBucket(WRITES_PER_SECOND)
+  const reads = createRateLimiter(READS_PER_SECOND)
+  const writes = createRateLimiter(WRITES_PER_SECOND)
   const nodeChanges: NodeChange[] = []
 
   const count = (name: string): void => { counts[name] = (counts[name] ?? 0) + 1 }
 
-  function isLimited (context: Koa.Context): boolean {
+  function rejectIfLimited (context: Koa.Context): boolean {
     const bucket = context.method === 'GET' ? reads : writes
     if (bucket.tryTake()) return false
     count('limited')
@@ -109,7 +109,7 @@
     count('watch')
     const abort = new AbortController()
     context.req.once('close', () => { abort.abort() })
-    const timer = setTimeout(() => { abort.abort() }, WATCH_LIMIT_MS)
+    const timer = setTimeout(() => { abort.abort() }, WATCH_TIMEOUT_MS)
     answerObject(context, await store.watch(kind, name, Number(context.query['version'] ?? 0), abort.signal))
     clearTimeout(timer)
   }
@@ -122,9 +122,9 @@
 
   function listNodes (context: Koa.Context): void {
     count('nodes')
-    const seen = new Map<string, NodeChange['state']>()
-    for (const change of nodeChanges) if (change.at + faults.nodeLagMs <= performance.now()) seen.set(change.node, change.state)
-    context.body = [...seen.entries()].filter(([, state]) => state !== 'gone').map(([node, state]) => ({ node, state }))
+    const states = new Map<string, NodeChange['state']>()
+    for (const change of nodeChanges) if (change.at + faults.nodeLagMs <= performance.now()) states.set(change.node, change.state)
+    context.body = [...states.entries()].filter(([, state]) => state !== 'gone').map(([node, state]) => ({ node, state }))
   }
 
   async function changeNode (context: Koa.Context): Promise<void> {
@@ -144,7 +144,7 @@
       return
     }
     if (faults.delayMs > 0) await timers.setTimeout(faults.delayMs)
-    if (isLimited(context)) return
+    if (rejectIfLimited(context)) return
     const object = OBJECT_PATH.exec(context.path)
     const list = LIST_PATH.exec(context.path)
     const watch = WATCH_PATH.exec(context.path)
--- a/packages/standins/src/createRandom/index.ts
+++ b/packages/standins/src/createRandom/index.ts
@@ -10,9 +10,9 @@
  * @returns Returns a number between 0 and 1 each time.
  */
 export function createRandom (seed: number): () => number {
-  let state = seed
+  let value = seed
   return () => {
-    state = state * MULTIPLIER % MODULUS
-    return state / MODULUS
+    value = value * MULTIPLIER % MODULUS
+    return value / MODULUS
   }
 }
--- a/packages/standins/src/createTimeline/test.ts
+++ b/packages/standins/src/createTimeline/test.ts
@@ -6,22 +6,22 @@
 nodeTest.test('actions come in the order of their times, and of their adding at the same time', () => {
   fastCheck.assert(fastCheck.property(fastCheck.array(fastCheck.nat(20)), (times) => {
     const timeline = createTimeline.createTimeline()
-    const seen: Array<readonly [number, number]> = []
-    times.forEach((time, order) => { timeline.at(time, () => { seen.push([timeline.now(), order]) }) })
+    const calls: Array<readonly [number, number]> = []
+    times.forEach((time, order) => { timeline.at(time, () => { calls.push([timeline.now(), order]) }) })
     timeline.run(Infinity)
     const expected = times.map((time, order) => [time, order] as const).sort((left, right) => left[0] - right[0] || left[1] - right[1])
-    assert.deepEqual(seen, expected)
+    assert.deepEqual(calls, expected)
   }), { seed: 7 })
 })
 
 nodeTest.test('time may pass in parts, and an action waits for its own', () => {
   const timeline = createTimeline.createTimeline()
-  const seen: number[] = []
-  for (const time of [5, 10, 15]) timeline.at(time, () => { seen.push(timeline.now()) })
+  const calls: number[] = []
+  for (const time of [5, 10, 15]) timeline.at(time, () => { calls.push(timeline.now()) })
   timeline.run(4)
-  assert.deepEqual([timeline.now(), seen], [4, []])
+  assert.deepEqual([timeline.now(), calls], [4, []])
   timeline.run(12)
-  assert.deepEqual([timeline.now(), seen], [12, [5, 10]])
+  assert.deepEqual([timeline.now(), calls], [12, [5, 10]])
   timeline.run(Infinity)
-  assert.deepEqual([timeline.now(), seen], [15, [5, 10, 15]])
+  assert.deepEqual([timeline.now(), calls], [15, [5, 10, 15]])
 })
