--- a/packages/command-line/src/_lib/connect.ts
+++ b/packages/command-line/src/_lib/connect.ts
@@ -1,4 +1,4 @@
-/** Connections of the command line to the platform and to an entry node. */
+/** Connects the command line to the platform and to an entry node. */
 import * as os from 'node:os'
 import type * as yargs from 'yargs'
 import * as types from '@switchridge/types'
@@ -7,7 +7,7 @@
 import * as rpc from '@switchridge/rpc'
 import type * as transfer from '@switchridge/transfer'
 
-/** Options that every command that talks to something takes. */
+/** Options of every command that connects to the platform or an entry node. */
 export interface ConnectionArguments {
   readonly platform?: string | undefined
   readonly entry?: string | undefined
@@ -19,14 +19,14 @@
   readonly json: boolean
 }
 
-/** A daemon's report, as far as the command line reads it. */
+/** The parts of a daemon's status that the command line reads. */
 export interface StatusReport {
   readonly self: types.MemberFacts
   readonly members: readonly membership.Member[]
   readonly transfers: readonly transfer.TransferProgress[]
 }
 
-/** Open connections. */
+/** Open connections to the platform and to an entry node. */
 export interface Connections {
   readonly store: platform.ObjectStore | null
   readonly readStatus: () => Promise<types.Outcome<StatusReport, types.SwitchridgeError>>
@@ -49,7 +49,7 @@
     .option('json', { type: 'boolean', default: false, describe: 'print JSON' }) as unknown as yargs.Argv<Arguments & ConnectionArguments>
 }
 
-/** Opens the connections that the arguments name. */
+/** Opens the connections that the options specify. */
 export function connect (options: ConnectionArguments): Connections {
   const agents = rpc.createHttpAgents()
   const client = rpc.createRpcClient({ deployment: options.deployment, sharedKey: options.sharedKey ?? '' }, agents)
--- a/packages/command-line/src/_lib/exitCodes.ts
+++ b/packages/command-line/src/_lib/exitCodes.ts
@@ -1,11 +1,11 @@
-/** Exit codes that a script can use. */
+/** Exit codes of the command, for scripts. */
 
 export const EXIT_OK = 0
 export const EXIT_FAILED = 1
 export const EXIT_USAGE = 2
-/** Input breaks a rule; nothing was changed. */
+/** The input is invalid; nothing was changed. */
 export const EXIT_INVALID = 3
-/** Another edit came first; nothing was changed. */
+/** The edit conflicts with an earlier one; nothing was changed. */
 export const EXIT_CONFLICT = 4
-/** The platform or a daemon cannot be reached; after an edit, whether it took effect is unknown. */
+/** The platform or a daemon is unreachable; after an edit it is unknown whether the edit took effect. */
 export const EXIT_UNAVAILABLE = 5
--- a/packages/command-line/src/_lib/prepareEdit.ts
+++ b/packages/command-line/src/_lib/prepareEdit.ts
@@ -1,9 +1,9 @@
-/** Checks an edit against the fleet before it is written, and says what it would move. */
+/** Checks an edit against the fleet's capacity before it is written, and estimates the data that it would move. */
 import * as types from '@switchridge/types'
 import type * as membership from '@switchridge/membership'
 import * as placement from '@switchridge/placement'
 
-/** What an edit would move. */
+/** Copies and bytes that an edit would move between nodes. */
 export interface EditCost {
   readonly copies: number
   readonly bytes: number
@@ -11,7 +11,7 @@
   readonly moves: ReadonlyArray<{ readonly node: string, readonly row: string, readonly bytes: number, readonly reason: string }>
 }
 
-/** Refuses a table that asks for more than the fleet holds, naming the cell. */
+/** Rejects a table that needs more copies than the fleet can hold; the error names the cells. */
 export function checkCapacity (table: types.Table, members: readonly membership.Member[]): types.Outcome<null, types.InvalidInputError> {
   const { shortfalls } = placement.computePlacement(table, members)
   if (shortfalls.length === 0) return types.succeed(null)
@@ -23,7 +23,7 @@
   return types.fail(new types.InvalidInputError('table', problems))
 }
 
-/** Counts what nodes would have to fetch that they do not hold. */
+/** Computes the copies that nodes would have to fetch because they don't hold them. */
 export function computeEditCost (table: types.Table, members: readonly membership.Member[]): EditCost {
   const heldManifests = new Map(members.map((member) => [member.facts.node, new Set([...member.facts.holding, ...member.facts.serving.map((served) => served.manifest)])]))
   const moves = placement.computePlacement(table, members).assignments
--- a/packages/command-line/src/auditCommand/index.ts
+++ b/packages/command-line/src/auditCommand/index.ts
@@ -1,4 +1,4 @@
-/** `switchridge audit`: who changed what, when. */
+/** `switchridge audit`: prints the audit trail of table changes. */
 import type * as yargs from 'yargs'
 import * as types from '@switchridge/types'
 import type * as platform from '@switchridge/store'
@@ -15,7 +15,7 @@
 
 const FOLLOW_INTERVAL_MS = 1000
 
-/** Adds the command. */
+/** Adds the `audit` command. */
 export function addAuditCommand (parser: yargs.Argv): yargs.Argv {
   return parser.command('audit', 'read the audit trail of changes', (command) => connections.addConnectionOptions(command)
     .option('from', { type: 'number', default: 1, describe: 'first revision' })
--- a/packages/command-line/src/demoCommand/callFleet.ts
+++ b/packages/command-line/src/demoCommand/callFleet.ts
@@ -1,37 +1,38 @@
-/** Callers of the demo: they ask all entry nodes and check every answer against the weights. */
+/** Load of the demo: callers send calls to all entry nodes and check every answer against the weights. */
 import * as crypto from 'node:crypto'
 import * as got from 'got'
 import * as types from '@switchridge/types'
 import * as launcher from '@switchridge/launcher'
 import * as standins from '@switchridge/standins'
 
-/** What the callers saw. */
+/** Counts of the calls by outcome, as the callers observed them. */
 export interface CallCounts {
   answered: number
   notRun: number
   unknown: number
-  /** Answers cut off in the middle. */
+  /** Calls that failed without a complete answer. */
   broken: number
-  /** Answers that belong to no version or to another request. */
+  /** Answers that match no version or belong to another request. */
   wrong: number
   readonly versions: Record<string, number>
+  /** Ids of all reservations that were sent. */
   readonly reservations: string[]
-  /** Reservations that were refused as not run. */
+  /** Ids of the reservations that were refused as not run. */
   readonly refusedReservations: string[]
 }
 
-/** Callers at work. */
+/** Running callers. */
 export interface Callers {
   readonly counts: CallCounts
   readonly stop: () => Promise<void>
 }
 
-/** What callers need to know. */
+/** Options of {@link startCallers}. */
 export interface CallerOptions {
   readonly fleet: launcher.Fleet
   readonly apiKey: string
   readonly row: string
-  /** Bytes of every version that may answer, by its name. */
+  /** Weights of every version that may answer, by `row@version`. */
   readonly weights: ReadonlyMap<string, Buffer>
   readonly intervalMs: number
 }
@@ -39,7 +40,7 @@
 const TOKENS = 12
 const TIMEOUT_MS = 10_000
 
-/** Starts one caller for each entry node and kind of call. */
+/** Starts one caller for each entry node and each kind of call: model calls and reservations. */
 export function startCallers (options: CallerOptions): Callers {
   const counts: CallCounts = { answered: 0, notRun: 0, unknown: 0, broken: 0, wrong: 0, versions: {}, reservations: [], refusedReservations: [] }
   const engineService = options.fleet.backends.find((node) => node.kind === 'engine')?.service ?? ''
--- a/packages/command-line/src/demoCommand/index.ts
+++ b/packages/command-line/src/demoCommand/index.ts
@@ -1,10 +1,10 @@
-/** `switchridge demo`: the whole product as processes on loopback, with real bytes and real calls. */
+/** `switchridge demo`: runs a complete fleet as processes on the loopback interface, with real transfers and calls. */
 import type * as yargs from 'yargs'
 import * as launcher from '@switchridge/launcher'
 import * as exitCodes from '../_lib/exitCodes.js'
 import * as runDemo from './runDemo.js'
 
-/** Adds the command. */
+/** Adds the `demo` command. */
 export function addDemoCommand (parser: yargs.Argv): yargs.Argv {
   return parser.command('demo', 'run a whole fleet on this machine for a minute', (command) => command
     .option('deployment', { choices: launcher.DEPLOYMENTS, default: 'depozit' as const, describe: 'whose fleet' })
--- a/packages/command-line/src/demoCommand/runDemo.ts
+++ b/packages/command-line/src/demoCommand/runDemo.ts
@@ -1,4 +1,4 @@
-/** The story of the demo: a fleet comes up, a model arrives, its version changes, callers ask all the while. */
+/** Scenario of the demo: starts a fleet, rolls out a model and then a second version of it, with calls running throughout. */
 import * as crypto from 'node:crypto'
 import * as path from 'node:path'
 import * as url from 'node:url'
@@ -39,6 +39,7 @@
 const ROW = 'asistent'
 const API_KEY = 'demo-key-of-a-tiler'
 const CHUNK_BYTES = 512 * 1024
+/** Period in which the origin's link carries four copies of the weights and a node's link two; sets the rates of both. */
 const TRANSFER_SECONDS = 10
 const ORIGIN_COPIES_PER_TRANSFER = 4
 const LINK_COPIES_PER_TRANSFER = 2
@@ -49,7 +50,7 @@
 const SETTLE_MS = 500
 const COMMAND_MODULE = path.join(path.dirname(url.fileURLToPath(import.meta.url)), '../main.js')
 
-/** Runs the demo; true if every promise was kept. */
+/** Runs the demo; returns true if calls were answered, all answers were correct and complete, no reservation ran twice or after a refusal, and the origin sent no more copies than allowed. */
 export async function runDemo (options: DemoOptions): Promise<boolean> {
   const processes = launcher.createLauncher(options.logs)
   try {
@@ -99,7 +100,7 @@
   return await summarise(options, fleet, replicas, results, callers.counts)
 }
 
-/** The second version shares the first half of its bytes with the first one. */
+/** Creates the parts of two versions; the second shares the first half of its bytes with the first. */
 function createVersions (bytes: number): Map<string, standins.WeightsPart[]> {
   const half = bytes / 2
   return new Map([
--- a/packages/command-line/src/demoCommand/showProgress.ts
+++ b/packages/command-line/src/demoCommand/showProgress.ts
@@ -1,13 +1,13 @@
-/** Progress of the demo: bars on a terminal, plain lines elsewhere. */
+/** Shows the progress of the demo: progress bars on a terminal, plain lines otherwise. */
 import * as cliProgress from 'cli-progress'
 
-/** Shows how many replicas serve. */
+/** Displays how many replicas serve a version. */
 export interface ProgressDisplay {
   readonly update: (serving: number, note: string) => void
   readonly stop: () => void
 }
 
-/** Creates the display of one version. */
+/** Creates the display for one version. */
 export function createProgressDisplay (title: string, replicas: number, isPlain: boolean): ProgressDisplay {
   return isPlain ? createLines(title, replicas) : createBar(title, replicas)
 }
--- a/packages/command-line/src/index.ts
+++ b/packages/command-line/src/index.ts
@@ -1,3 +1,3 @@
-/** The operators' command as functions, for tests. */
+/** Functions of the operators' command, exported for tests. */
 export * as exitCodes from './_lib/exitCodes.js'
 export * as prepareEdit from './_lib/prepareEdit.js'
--- a/packages/command-line/src/main.ts
+++ b/packages/command-line/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The operators' command: `switchridge`. */
+/** Entry point of the `switchridge` command for operators. */
 import yargs from 'yargs'
 import type * as yargsTypes from 'yargs'
 import * as types from '@switchridge/types'
--- a/packages/command-line/src/manifestCommand/index.ts
+++ b/packages/command-line/src/manifestCommand/index.ts
@@ -1,4 +1,4 @@
-/** `switchridge manifest create`: the manifest to publish beside a file of weights. */
+/** `switchridge manifest create`: writes the manifest to publish along with a weights file. */
 import * as fs from 'node:fs'
 import type * as yargs from 'yargs'
 import * as types from '@switchridge/types'
@@ -7,7 +7,7 @@
 
 const DEFAULT_CHUNK_MEBIBYTES = 16
 
-/** Adds the command. */
+/** Adds the `manifest` command. */
 export function addManifestCommand (parser: yargs.Argv): yargs.Argv {
   return parser.command('manifest', 'make manifests of weights', (command) => command
     .command('create <file>', 'write FILE.manifest.json and print its digest', (sub) => sub
--- a/packages/command-line/src/planCommand/index.ts
+++ b/packages/command-line/src/planCommand/index.ts
@@ -1,4 +1,4 @@
-/** `switchridge plan`: a dry run that explains every placement. */
+/** `switchridge plan`: computes the placement without applying it, with the reason for each assignment. */
 import type * as yargs from 'yargs'
 import * as types from '@switchridge/types'
 import * as placement from '@switchridge/placement'
@@ -6,7 +6,7 @@
 import * as connections from '../_lib/connect.js'
 import * as report from '../_lib/report.js'
 
-/** Adds the command. */
+/** Adds the `plan` command. */
 export function addPlanCommand (parser: yargs.Argv): yargs.Argv {
   return parser.command('plan', 'explain who holds what, and why', (command) => connections.addConnectionOptions(command), async (options) => {
     await showPlan(options as unknown as connections.ConnectionArguments)
--- a/packages/command-line/src/settingsCommand/index.ts
+++ b/packages/command-line/src/settingsCommand/index.ts
@@ -1,10 +1,10 @@
-/** `switchridge settings check`: every mistake in a settings file at once. */
+/** `switchridge settings check`: validates a settings file and reports all its errors at once. */
 import * as fs from 'node:fs'
 import type * as yargs from 'yargs'
 import * as settings from '@switchridge/settings'
 import * as report from '../_lib/report.js'
 
-/** Adds the command. */
+/** Adds the `settings` command. */
 export function addSettingsCommand (parser: yargs.Argv): yargs.Argv {
   return parser.command('settings', 'check settings files', (command) => command
     .command('check <file>', 'check a settings file of a daemon', (sub) => sub.positional('file', { type: 'string', demandOption: true })
--- a/packages/command-line/src/statusCommand/index.ts
+++ b/packages/command-line/src/statusCommand/index.ts
@@ -1,9 +1,9 @@
-/** `switchridge status`: what each daemon holds, loads and serves, and why not. */
+/** `switchridge status`: prints the condition of each daemon, what it serves and what it waits for. */
 import type * as yargs from 'yargs'
 import * as connections from '../_lib/connect.js'
 import * as report from '../_lib/report.js'
 
-/** Adds the command. */
+/** Adds the `status` command. */
 export function addStatusCommand (parser: yargs.Argv): yargs.Argv {
   return parser.command('status', 'show every daemon as an entry node sees it', (command) => connections.addConnectionOptions(command)
     .example('$0 status --entry 10.0.0.5:7000', 'ask one entry node'), async (options) => { await showStatus(options as unknown as connections.ConnectionArguments) })
--- a/packages/command-line/src/tableCommands/index.ts
+++ b/packages/command-line/src/tableCommands/index.ts
@@ -1,4 +1,4 @@
-/** `switchridge table`: show, set, unset, import, export and check. */
+/** `switchridge table`: shows, edits, imports, exports and checks the table. */
 import * as crypto from 'node:crypto'
 import * as fs from 'node:fs'
 import * as got from 'got'
@@ -18,10 +18,10 @@
   readonly auditKeep: number
 }
 
-/** Makes the changes of an edit from the table as read. */
+/** Computes the changes of an edit from the current table. */
 type MakeChanges = (table: types.Table) => Promise<types.Outcome<readonly types.CellChange[], Error>> | types.Outcome<readonly types.CellChange[], Error>
 
-/** Adds the command. */
+/** Adds the `table` command. */
 export function addTableCommands (parser: yargs.Argv): yargs.Argv {
   return parser.command('table', 'show and edit the table', (command) => connections.addConnectionOptions(command)
     .command('show', 'print the table', {}, async (options) => { await showTable(options as unknown as connections.ConnectionArguments) })
@@ -107,7 +107,7 @@
   return tables.parseCells(table, place.value, pinned.value)
 }
 
-/** Adds the manifest's digest and the size when a source is set and the origin is known. */
+/** Adds the digest and size from the manifest at the origin when a source is set without a manifest and the origin is known. */
 async function pinManifest (section: types.SectionName, cells: readonly string[], origin: string | undefined): Promise<types.Outcome<readonly string[], types.UnavailableError>> {
   const source = cells.find((cell) => cell.startsWith('source='))?.slice('source='.length)
   const isPinned = cells.some((cell) => cell.startsWith('manifest='))
--- a/packages/fuzz/src/_lib/callFleet.ts
+++ b/packages/fuzz/src/_lib/callFleet.ts
@@ -1,4 +1,4 @@
-/** Entry nodes, backend daemons and back ends in one process, over loopback, with the daemons' own code. */
+/** Entry nodes, backend daemons and a back end in one process, built from the daemon's code and connected over the loopback interface. */
 import * as http from 'node:http'
 import Koa from 'koa'
 import * as daemon from '@switchridge/daemon'
@@ -10,16 +10,17 @@
 import * as clock from '@switchridge/clock'
 import * as types from '@switchridge/types'
 
-/** What a back end does with a request, as the request asks. */
+/** Behaviour of the back end for a request, chosen by the request's `x-fuzz` header. */
 export type Behaviour = 'answer' | 'slow' | 'break-before-run' | 'break-after-run' | 'break-in-answer'
 
-/** A fleet to call. */
+/** A running fleet. */
 export interface CallFleet {
   readonly entryUrls: readonly string[]
-  /** How often each request ran, by its id. */
+  /** Number of times that each request was executed, by request id. */
   readonly runs: ReadonlyMap<string, number>
-  /** Ends a backend daemon at once and starts another one in its place. */
+  /** Aborts a backend daemon and starts another in its place. */
   readonly restart: (index: number) => Promise<void>
+  /** Makes a backend daemon leave: it refuses waiting and new calls. */
   readonly leave: (index: number) => void
   readonly close: () => Promise<void>
 }
@@ -28,9 +29,9 @@
 export interface CallFleetOptions {
   readonly entryNodes: number
   readonly backends: number
-  /** Milliseconds after which the connection of the next attempt breaks; null for none. */
+  /** Returns the milliseconds after which the connection of the next attempt breaks, or null to keep it. */
   readonly nextBreakMs: () => number | null
-  /** Resolves a ticket; mutants stand in for it. */
+  /** Creates a daemon's tickets; tests pass a faulty implementation to check that the fuzzer detects it. */
   readonly createTickets: () => routing.Tickets
 }
 
@@ -52,7 +53,7 @@
   services: [{ id: SERVICE, kind: 'plain', concurrency: SLOTS, queue: 1, deadlineMs: DEADLINE_MS, repeatable: 'reads', retryBudget: 0.5 }]
 }
 
-/** Opens the fleet. */
+/** Starts the fleet. */
 export async function createCallFleet (options: CallFleetOptions): Promise<CallFleet> {
   const runs = new Map<string, number>()
   const agents = rpc.createHttpAgents()
@@ -99,7 +100,7 @@
   }
 }
 
-/** Back ends of the fuzz break connections, and none ends. */
+/** The fuzzer's back end breaks connections but never ends, so quarantine stays inactive. */
 const INACTIVE_GUARD: daemon.EntryGuard = { isActive: () => false, findBlock: () => null, noteServed: () => {}, onBlocked: () => {}, noteLost: async () => {} }
 const steadyClock = clock.createSteadyClock()
 const scheduleAt = clock.createDeadlines(steadyClock)
--- a/packages/fuzz/src/_lib/faultyStore.ts
+++ b/packages/fuzz/src/_lib/faultyStore.ts
@@ -1,11 +1,11 @@
-/** The platform with faults that a list of numbers decides: outages, lost answers, answers out of time. */
+/** Object store wrapper that injects faults: refused calls, lost requests and lost answers, at varying times. */
 import * as platform from '@switchridge/store'
 import * as types from '@switchridge/types'
 
-/** What happens to one call. */
+/** Fault injected into a call. */
 export type StoreFault = 'none' | 'refused' | 'lost-request' | 'lost-answer'
 
-/** Wraps a store; `nextFault` is asked once for every call. */
+/** Wraps a store. `nextFault` decides the fault of each call; `yieldTurn` lets concurrent calls run before and after it. */
 export function createFaultyStore (store: platform.ObjectStore, nextFault: () => StoreFault, yieldTurn: () => Promise<void>): platform.ObjectStore {
   async function run<Value, Failure extends Error> (call: () => Promise<types.Outcome<Value, Failure>>): Promise<types.Outcome<Value, Failure | types.UnavailableError>> {
     const fault = nextFault()
--- a/packages/fuzz/src/_lib/fuzzOptions.ts
+++ b/packages/fuzz/src/_lib/fuzzOptions.ts
@@ -1,6 +1,6 @@
-/** Options that every fuzz takes. */
+/** Options shared by all fuzzers. */
 
-/** How long and from where a fuzz goes. */
+/** Seed and number of runs of a fuzzer. */
 export interface FuzzOptions {
   readonly seed: number
   readonly runs: number
--- a/packages/fuzz/src/fuzzCalls/index.ts
+++ b/packages/fuzz/src/fuzzCalls/index.ts
@@ -1,4 +1,7 @@
-/** Calls over entry nodes and daemons that break, restart and leave: at most once, truthful refusals, own answers. */
+/**
+ * Fuzzes calls while connections break and daemons restart or leave. Checks that calls that may not be repeated run at most once,
+ * that calls refused as not run did not run, and that each caller gets its own answer.
+ */
 import * as fc from 'fast-check'
 import * as routing from '@switchridge/routing'
 import * as rpc from '@switchridge/rpc'
@@ -37,7 +40,7 @@
   readonly id: string
   /** Idempotency key of a call that may not be repeated; -1 for none. */
   readonly key: number
-  /** The answer was kept from an earlier call with the same key. */
+  /** Whether the answer was replayed from an earlier call with the same key. */
   readonly isReplayed: boolean
   readonly method: string
   readonly outcome: string
@@ -49,7 +52,7 @@
  *
  * @param options - Seed and number of runs.
  * @param createTickets - Creates the tickets under test.
- * @returns Resolves when no call broke a promise.
+ * @returns Resolves if no run violates a guarantee; rejects otherwise.
  */
 export async function fuzzCalls (options: fuzzOptions.FuzzOptions, createTickets: () => routing.Tickets = () => routing.createTickets()): Promise<void> {
   const agents = rpc.createHttpAgents()
@@ -85,7 +88,7 @@
   return { ...common, outcome: String(answered['x-switchridge-outcome']), body: body.toString('utf8'), isReplayed: answered['x-switchridge-replayed'] === 'true' }
 }
 
-/** The oracle: it knows only what the caller saw and how often the back ends ran the call. */
+/** Oracle for a single call: knows only what the caller observed and how often the back end executed the call. */
 function checkCall (observed: ObservedCall, runs: number): string[] {
   const problems: string[] = []
   if (observed.method === 'POST' && runs > 1) problems.push(`${observed.id} may not be repeated and ran ${runs} times`)
@@ -97,7 +100,7 @@
   return problems
 }
 
-/** All calls with one key together run at most once, and a replayed answer is that of the one that ran. */
+/** Oracle for idempotency keys: calls with the same key run at most once in total, and a replayed answer is that of the call that ran. */
 function checkIdempotencyKeys (observed: readonly ObservedCall[], runs: ReadonlyMap<string, number>): string[] {
   const keys = [...new Set(observed.map((each) => each.key))].filter((key) => key >= 0)
   return keys.flatMap((key) => {
--- a/packages/fuzz/src/fuzzEdits/index.ts
+++ b/packages/fuzz/src/fuzzEdits/index.ts
@@ -1,4 +1,4 @@
-/** Editors who race on a faulty platform, some of whom die: accepted edits exist exactly once and the audit is whole. */
+/** Fuzzes concurrent editors on a platform with faults. Checks that accepted edits take effect exactly once and that the audit trail is complete. */
 import * as fc from 'fast-check'
 import * as platform from '@switchridge/store'
 import * as tables from '@switchridge/table'
@@ -6,7 +6,7 @@
 import * as faultyStore from '../_lib/faultyStore.js'
 import type * as fuzzOptions from '../_lib/fuzzOptions.js'
 
-/** Edits a table; mutants stand in for it. */
+/** The edit function under test; tests pass a faulty one to check that the fuzzer detects it. */
 export type EditTable = typeof tables.editTable
 
 const COLUMNS = ['concurrency', 'queue', 'deadlineMs'] as const
@@ -30,7 +30,7 @@
  *
  * @param options - Seed and number of runs.
  * @param editTable - The function under test.
- * @returns Resolves when no run broke a promise; rejects with the smallest run that did.
+ * @returns Resolves if no run violates a guarantee; rejects with the smallest run that does.
  */
 export async function fuzzEdits (options: fuzzOptions.FuzzOptions, editTable: EditTable = tables.editTable): Promise<void> {
   await fc.assert(fc.asyncProperty(planArbitrary, async ({ edits, faults, turns }) => {
@@ -62,26 +62,26 @@
   return new Map(COLUMNS.map((column, index) => [index, row[column] ?? null]))
 }
 
-/** The oracle: replaying the audit must give the table, and every verdict must agree with the audit. */
+/** Oracle: replaying the audit trail must yield the table, and the outcome of every edit must agree with the audit trail. */
 async function checkResults (store: platform.ObjectStore, results: readonly EditResult[]): Promise<void> {
   const audit = await tables.readAudit(store, 1)
   const stored = await tables.readTable(store)
-  if (!audit.ok || !stored.ok) throw new Error('the platform cannot be read at the end')
+  if (!audit.ok || !stored.ok) throw new Error('the table or the audit trail cannot be read after the run')
   audit.value.forEach((entry, index) => { if (entry.revision !== index + 1) throw new Error(`revision ${index + 1} has no audit entry`) })
   const counts = new Map<string, number>()
   for (const entry of audit.value) counts.set(entry.editId, (counts.get(entry.editId) ?? 0) + 1)
   for (const { editId, outcome } of results) {
     const count = counts.get(editId) ?? 0
     if (count > 1) throw new Error(`${editId} took effect ${count} times`)
-    if (outcome.ok && count !== 1) throw new Error(`${editId} was accepted and is not there`)
+    if (outcome.ok && count !== 1) throw new Error(`${editId} was accepted but has no audit entry`)
     const isDefinitelyRejected = !outcome.ok && !(outcome.error instanceof tables.EditUnknownError)
-    if (isDefinitelyRejected && count !== 0) throw new Error(`${editId} was refused and is there`)
+    if (isDefinitelyRejected && count !== 0) throw new Error(`${editId} was refused but has an audit entry`)
   }
   let replayed = types.EMPTY_TABLE
   for (const entry of audit.value) {
     const applied = tables.applyChanges(replayed, entry.changes)
-    if (!applied.ok) throw new Error(`the audit does not replay: ${applied.error.message}`)
+    if (!applied.ok) throw new Error(`replaying the audit trail failed: ${applied.error.message}`)
     replayed = applied.value
   }
-  if (JSON.stringify(replayed.services) !== JSON.stringify(stored.value.table.services)) throw new Error('the table is not what the audit says')
+  if (JSON.stringify(replayed.services) !== JSON.stringify(stored.value.table.services)) throw new Error('the table differs from the replayed audit trail')
 }
--- a/packages/fuzz/src/fuzzLease/index.ts
+++ b/packages/fuzz/src/fuzzLease/index.ts
@@ -1,16 +1,16 @@
-/** Holders of a lease that are paused at any moment, before an engine that checks no fence: orders never overlap. */
+/** Fuzzes lease holders that may pause at any time, with an engine that doesn't check fences. Checks that no order arrives while another holder has the lease. */
 import * as fc from 'fast-check'
 import * as platform from '@switchridge/store'
 import type * as fuzzOptions from '../_lib/fuzzOptions.js'
 
-/** Options of a lease that mutants change. */
+/** Duration and safety margin of a lease; tests pass an unsafe margin to check that the fuzzer detects it. */
 export interface LeaseTimings {
   readonly durationMs: number
   readonly marginMs: number
 }
 
 export const SAFE_TIMINGS: LeaseTimings = { durationMs: 400, marginMs: 200 }
-/** Milliseconds that an order is under way at most; within the margin. */
+/** Maximum delay of an order in milliseconds; within the margin. */
 const MAX_ORDER_MS = 200
 const HOLDERS = 2
 
@@ -26,7 +26,7 @@
  *
  * @param options - Seed and number of runs.
  * @param timings - Duration and margin under test.
- * @returns Resolves when no order reached the engine after another holder had the lease.
+ * @returns Resolves if no order reaches the engine after another holder acquired the lease; rejects otherwise.
  */
 export async function fuzzLease (options: fuzzOptions.FuzzOptions, timings: LeaseTimings = SAFE_TIMINGS): Promise<void> {
   await fc.assert(fc.asyncProperty(fc.array(stepArbitrary, { minLength: 20, maxLength: 60 }), async (steps) => {
@@ -51,8 +51,8 @@
       } else if (step.kind === 'acquire') {
         const acquired = await leases[step.holder]?.acquire()
         if (acquired?.ok !== true) continue
-        if (acquired.value < generation) throw new Error('a generation went back')
-        if (acquired.value === generation && owner !== step.holder) throw new Error('two holders have one generation')
+        if (acquired.value < generation) throw new Error('the generation of the lease decreased')
+        if (acquired.value === generation && owner !== step.holder) throw new Error('two holders acquired the lease with the same generation')
         owner = step.holder
         generation = acquired.value
       } else if (step.kind === 'order') {
--- a/packages/fuzz/src/fuzzSpread/index.ts
+++ b/packages/fuzz/src/fuzzSpread/index.ts
@@ -1,11 +1,11 @@
-/** Tables that reach daemons late, twice, out of order or from a platform restored from an old copy: no daemon ever goes back. */
+/** Fuzzes the propagation of tables that arrive late, twice, out of order or from a platform restored from an old backup. Checks that no daemon reverts to an older revision. */
 import * as fc from 'fast-check'
 import * as daemon from '@switchridge/daemon'
 import * as observability from '@switchridge/observability'
 import * as types from '@switchridge/types'
 import type * as fuzzOptions from '../_lib/fuzzOptions.js'
 
-/** Creates the keeper of a daemon; mutants stand in for it. */
+/** Creates the table keeper of a daemon; tests pass a faulty one to check that the fuzzer detects it. */
 export type CreateKeeper = () => daemon.TableKeeper
 
 const DAEMONS = 5
@@ -23,17 +23,17 @@
   return { ...types.EMPTY_TABLE, revision, lastEdit }
 }
 
-/** Creates a keeper that logs nothing. */
+/** Creates a table keeper with a silent logger. */
 export function createSilentKeeper (): daemon.TableKeeper {
   return daemon.createTableKeeper(observability.createLogger('fuzz', {}, { level: 'silent' }))
 }
 
 /**
- * Fuzzes the spread of revisions.
+ * Fuzzes the propagation of table revisions.
  *
  * @param options - Seed and number of runs.
- * @param createKeeper - Creates the keepers under test.
- * @returns Resolves when no daemon went back and all ended at the newest revision that any of them holds.
+ * @param createKeeper - Creates the table keepers under test.
+ * @returns Resolves if no daemon reverts to an older revision and all reach the newest one that any of them holds.
  */
 export async function fuzzSpread (options: fuzzOptions.FuzzOptions, createKeeper: CreateKeeper = createSilentKeeper): Promise<void> {
   await fc.assert(fc.asyncProperty(fc.array(stepArbitrary, { maxLength: 60 }), async (steps) => {
@@ -41,7 +41,7 @@
     const highestSeen = keepers.map(() => 0)
     const checkMonotonic = (index: number): void => {
       const revision = keepers[index]?.current().revision ?? 0
-      if (revision < (highestSeen[index] ?? 0)) throw new Error(`daemon ${index} went back from ${highestSeen[index] ?? 0} to ${revision}`)
+      if (revision < (highestSeen[index] ?? 0)) throw new Error(`daemon ${index} reverted from revision ${highestSeen[index] ?? 0} to ${revision}`)
       highestSeen[index] = revision
     }
     for (const step of steps) {
@@ -62,7 +62,7 @@
   }), { seed: options.seed, numRuns: options.runs })
 }
 
-/** A replaced daemon asks a daemon of its hall before it serves; it starts a new life without a floor of its own. */
+/** Replaces a daemon by a new incarnation, which fetches the table from a peer before it serves and has no revision of its own to keep. */
 function replace (keepers: daemon.TableKeeper[], highestSeen: number[], index: number, from: number, createKeeper: CreateKeeper): void {
   if (index === from) return
   const replacement = createKeeper()
--- a/packages/fuzz/src/index.ts
+++ b/packages/fuzz/src/index.ts
@@ -1,4 +1,4 @@
-/** Stateful fuzzing against simple oracles. */
+/** Stateful fuzz tests that check results with simple oracles. */
 export * from './_lib/fuzzOptions.js'
 export * from './fuzzCalls/index.js'
 export * from './fuzzEdits/index.js'
--- a/packages/launcher/src/createLauncher/index.ts
+++ b/packages/launcher/src/createLauncher/index.ts
@@ -1,4 +1,4 @@
-/** Starts the processes of the demo and the measurements, and ends every one of them. */
+/** Starts child processes for the demo and the measurements, and makes sure that all of them end. */
 import * as childProcess from 'node:child_process'
 import * as fs from 'node:fs'
 import * as os from 'node:os'
@@ -14,29 +14,30 @@
   readonly kill: (signal: NodeJS.Signals) => void
 }
 
-/** What a command that ran to its end left. */
+/** Exit code and output of a finished command. */
 export interface CommandResult {
   readonly exitCode: number
   readonly stdout: string
   readonly stderr: string
 }
 
-/** Starts and ends processes. */
+/** Starts and terminates child processes. */
 export interface Launcher {
-  /** A folder for settings and logs that goes with the launcher. */
+  /** Folder for settings and logs. */
   readonly folder: string
   readonly start: (name: string, module: string, args: readonly string[]) => LaunchedProcess
-  /** Runs a command of the project to its end. */
+  /** Runs a module as a command and waits until it exits. */
   readonly run: (module: string, args: readonly string[], environment: Readonly<Record<string, string>>) => Promise<CommandResult>
   readonly processes: () => readonly LaunchedProcess[]
-  /** Ends what still runs and removes the folder. */
+  /** Terminates the processes that are still running and removes the folder, unless it is to be kept. */
   readonly close: () => Promise<void>
 }
 
+/** Time for processes to exit after SIGTERM before they get SIGKILL. */
 const TERMINATION_TIMEOUT_MS = 1500
 const EXIT_INTERRUPTED = 130
 const SIGNALS = ['SIGINT', 'SIGTERM', 'SIGHUP'] as const
-/** Flags of the runtime for every launched process, for example `--cpu-prof --cpu-prof-dir=DIR`. */
+/** Environment variable with Node.js flags for every launched process, for example `--cpu-prof --cpu-prof-dir=DIR`. */
 const FLAGS_VARIABLE = 'SWITCHRIDGE_NODE_FLAGS'
 
 function readFlags (): string[] {
@@ -46,8 +47,8 @@
 /**
  * Creates a launcher.
  *
- * @param keptFolder - Where settings and logs stay after the end; by default they go to a folder that is removed.
- * @returns The launcher; its processes end with this process also when it fails.
+ * @param keptFolder - Folder in which settings and logs are kept; by default they go to a temporary folder that `close` removes.
+ * @returns The launcher; its processes are killed when this process exits, also on a failure or a signal.
  */
 export function createLauncher (keptFolder?: string): Launcher {
   const folder = keptFolder ?? fs.mkdtempSync(path.join(os.tmpdir(), 'switchridge-'))
--- a/packages/launcher/src/describeFleet/index.ts
+++ b/packages/launcher/src/describeFleet/index.ts
@@ -1,14 +1,14 @@
-/** The fleets of the two first users, at their sizes of today. */
+/** Fleet plans of two deployments, at their current sizes. */
 
-/** A service and its backend servers by data hall. */
+/** A service and the number of its backend servers in each data hall. */
 export interface ServicePlan {
   readonly name: string
   readonly kind: 'engine' | 'plain'
-  /** Backend servers in each data hall, in the order of the halls. */
+  /** Number of backend servers in each data hall, in the order of the halls. */
   readonly perHall: readonly number[]
 }
 
-/** A fleet to start. */
+/** Data halls, entry nodes and services of a fleet to start. */
 export interface FleetPlan {
   readonly deployment: string
   readonly halls: ReadonlyArray<{ readonly id: string, readonly region: string, readonly entryNodes: number }>
@@ -50,10 +50,10 @@
 export type DeploymentName = typeof DEPLOYMENTS[number]
 
 /**
- * Describes a fleet of today.
+ * Returns the fleet plan of a deployment.
  *
- * @param name - The deployment.
- * @returns Its halls and services.
+ * @param name - Name of the deployment.
+ * @returns Its data halls and services.
  */
 export function describeFleet (name: DeploymentName): FleetPlan {
   return name === 'depozit' ? DEPOZIT : FLAGWRIGHT
--- a/packages/launcher/src/findPorts/index.ts
+++ b/packages/launcher/src/findPorts/index.ts
@@ -1,4 +1,4 @@
-/** Finds free ports on loopback, outside the range from which the system takes ports for outgoing connections. */
+/** Finds free ports on the loopback interface, below the ephemeral range that the system uses for outgoing connections. */
 import * as net from 'node:net'
 import * as types from '@switchridge/types'
 
@@ -6,9 +6,9 @@
 const HIGHEST_PORT = 31_000
 
 /**
- * Finds ports that are free now.
+ * Finds ports that are currently free.
  *
- * @param count - How many.
+ * @param count - Number of ports.
  * @returns The ports.
  */
 export async function findPorts (count: number): Promise<number[]> {
--- a/packages/launcher/src/index.ts
+++ b/packages/launcher/src/index.ts
@@ -1,4 +1,4 @@
-/** Starts whole fleets on loopback for the demo and the measurements. */
+/** Starts complete fleets on the loopback interface, for the demo and the measurements. */
 export * from './createLauncher/index.js'
 export * from './describeFleet/index.js'
 export * from './findPorts/index.js'
--- a/packages/launcher/src/readMembers/index.ts
+++ b/packages/launcher/src/readMembers/index.ts
@@ -1,4 +1,4 @@
-/** Asks daemons of a fleet for their status. */
+/** Queries the daemons of a fleet over RPC, mainly for their status. */
 import type * as membership from '@switchridge/membership'
 import * as rpc from '@switchridge/rpc'
 import type * as types from '@switchridge/types'
@@ -19,13 +19,13 @@
 const agents = rpc.createHttpAgents()
 
 /**
- * Calls a method of a daemon.
+ * Calls an RPC method of a daemon.
  *
  * @param fleet - The fleet.
  * @param node - The daemon.
  * @param method - Name of the method.
  * @param params - Its parameters.
- * @returns The result, or null when the daemon gave none.
+ * @returns The result, or null if the call failed.
  */
 export async function callNode<Result> (fleet: Pick<startFleet.Fleet, 'deployment' | 'sharedKey'>, node: Pick<startFleet.FleetNode, 'address'>, method: string, params: unknown): Promise<Result | null> {
   const client = rpc.createRpcClient({ deployment: fleet.deployment, sharedKey: fleet.sharedKey }, agents)
@@ -34,11 +34,11 @@
 }
 
 /**
- * Reads the status of several daemons at once.
+ * Reads the status of several daemons concurrently.
  *
  * @param fleet - The fleet.
  * @param nodes - The daemons.
- * @returns The statuses of those that answer.
+ * @returns The statuses of the daemons that answered.
  */
 export async function readStatuses (fleet: Pick<startFleet.Fleet, 'deployment' | 'sharedKey'>, nodes: readonly startFleet.FleetNode[]): Promise<NodeStatus[]> {
   const statuses = await Promise.all(nodes.map(async (node) => await callNode<NodeStatus>(fleet, node, 'status', {})))
@@ -46,10 +46,10 @@
 }
 
 /**
- * Reads the members as the first entry node that answers sees them.
+ * Reads the member list of the first entry node that answers.
  *
  * @param fleet - The fleet.
- * @returns The members; none when no entry node answers.
+ * @returns The members; empty if no entry node answers.
  */
 export async function readMembers (fleet: startFleet.Fleet): Promise<readonly membership.Member[]> {
   for (const entry of fleet.entryNodes) {
--- a/packages/launcher/src/startFleet/index.ts
+++ b/packages/launcher/src/startFleet/index.ts
@@ -1,4 +1,4 @@
-/** Starts a whole fleet on loopback: stand-ins, entry nodes, backend daemons. */
+/** Starts a complete fleet on the loopback interface: stand-ins, entry nodes and backend daemons. */
 import * as fs from 'node:fs'
 import * as path from 'node:path'
 import * as url from 'node:url'
@@ -18,7 +18,7 @@
   readonly kind: 'engine' | 'plain' | ''
   readonly address: types.Address
   readonly callerPort: number
-  /** Address of the back end beside a backend daemon. */
+  /** URL of the back end that a backend daemon serves. */
   readonly backEndUrl: string
   readonly settingsFile: string
   process: createLauncher.LaunchedProcess
@@ -31,13 +31,14 @@
   readonly linkBytesPerSecond: number
   readonly tokenMs: number
   readonly plainWorkMs: number
-  /** Engines that share one process; 1 gives each its own. */
+  /** Number of engine stand-ins in one process. */
   readonly enginesPerProcess: number
   readonly readsWeights: boolean
   readonly chunkMemoryBytes: number
   readonly engineMemoryBytes: number
-  /** Further settings in TOML for every daemon. */
+  /** Additional TOML appended to the settings of every daemon. */
   readonly extraSettings?: string
+  /** Additional lines for the `[limits]` table of the settings. */
   readonly limits?: string
 }
 
@@ -50,6 +51,7 @@
   readonly entryNodes: readonly FleetNode[]
   readonly backends: readonly FleetNode[]
   readonly sharedKey: string
+  /** Starts the daemon of a node again and replaces its `process`. */
   readonly startNode: (node: FleetNode) => void
 }
 
@@ -67,9 +69,9 @@
 /**
  * Starts a fleet.
  *
- * @param launcher - Starts the processes.
- * @param options - What to start.
- * @returns The fleet, when every process answers.
+ * @param launcher - Launcher for the processes.
+ * @param options - Plan of the fleet, rates and settings.
+ * @returns The fleet, as soon as the stand-ins for the platform and the origin and all daemons answer.
  */
 export async function startFleet (launcher: createLauncher.Launcher, options: FleetOptions): Promise<Fleet> {
   const nodePlans = await planNodes(options.plan)
--- a/packages/launcher/src/waitUntil/index.ts
+++ b/packages/launcher/src/waitUntil/index.ts
@@ -1,4 +1,4 @@
-/** Waits for a condition by asking again. */
+/** Waits for a condition by polling it. */
 import * as types from '@switchridge/types'
 
 const POLL_MS = 50
@@ -6,11 +6,11 @@
 /**
  * Waits until a condition holds.
  *
- * @param condition - Asked again and again; a throw counts as not yet.
- * @param timeoutMs - Milliseconds after which it gives up.
- * @param description - What is waited for, for the error.
- * @returns Resolves when it holds.
- * @throws Error when the time is over.
+ * @param condition - Polled until it returns true; an exception counts as false.
+ * @param timeoutMs - Timeout in milliseconds.
+ * @param description - What the caller waits for, for the error message.
+ * @returns Resolves when the condition holds.
+ * @throws Error on a timeout.
  */
 export async function waitUntil (condition: () => Promise<boolean> | boolean, timeoutMs: number, description: string): Promise<void> {
   const endAt = performance.now() + timeoutMs
@@ -18,7 +18,7 @@
     try {
       if (await condition()) return
     } catch {
-      // not yet
+      // the condition does not hold yet
     }
     await types.delay(POLL_MS)
   }
--- a/packages/measure/src/_lib/arrivals.ts
+++ b/packages/measure/src/_lib/arrivals.ts
@@ -1,18 +1,20 @@
-/** Calls with fixed seeds: Poisson arrivals and service times with a heavy tail. */
+/** Generates reproducible loads: Poisson arrivals with heavy-tailed service times. */
 import * as random from 'pure-rand/distribution/uniformFloat64'
 import * as generators from 'pure-rand/generator/xoroshiro128plus'
 
-/** One call of a load. */
+/** A call of a load. */
 export interface Arrival {
-  /** Milliseconds after the start. */
+  /** Arrival time in milliseconds after the start. */
   readonly at: number
   readonly serviceMs: number
 }
 
+/** Shape of the Pareto distribution of service times. */
 const TAIL_SHAPE = 2.2
+/** Upper bound of a service time, as a multiple of the mean. */
 const TAIL_LIMIT = 12
 
-/** Draws the calls of a load. */
+/** Generates the calls of a load from a seed. */
 export function drawArrivals (seed: number, callsPerSecond: number, seconds: number, meanServiceMs: number): Arrival[] {
   const generator = generators.xoroshiro128plus(seed)
   const drawUniform = (): number => random.uniformFloat64(generator)
@@ -24,13 +26,13 @@
   return arrivals
 }
 
-/** A bounded Pareto with mean near 1. */
+/** Draws from a bounded Pareto distribution with a mean close to 1. */
 function drawPareto (uniform: number): number {
   const scale = (TAIL_SHAPE - 1) / TAIL_SHAPE
   return Math.min(TAIL_LIMIT, scale / (1 - uniform) ** (1 / TAIL_SHAPE))
 }
 
-/** Delays of the same calls with one shared queue before all slots: the ideal. */
+/** Computes the delays of the calls with a single shared FIFO queue in front of all slots, as the ideal to compare with. */
 export function computeSharedQueueDelays (arrivals: readonly Arrival[], slots: number): number[] {
   const freeAt = new Array<number>(slots).fill(0)
   return arrivals.map(({ at, serviceMs }) => {
--- a/packages/measure/src/_lib/controlFleet.ts
+++ b/packages/measure/src/_lib/controlFleet.ts
@@ -1,8 +1,8 @@
-/** Fleets for measurements of control: no weights, no calls. */
+/** Fleets for measurements of the control traffic, without weights or calls. */
 import * as launcher from '@switchridge/launcher'
 import * as types from '@switchridge/types'
 
-/** Shape of a fleet. */
+/** Size of a fleet. */
 export interface FleetShape {
   readonly halls: number
   readonly entryNodesPerHall: number
@@ -11,7 +11,7 @@
 
 const ENGINES_PER_PROCESS = 64
 
-/** Starts a fleet of the shape. */
+/** Starts a fleet of the given shape. */
 export async function startControlFleet (processes: launcher.Launcher, shape: FleetShape): Promise<launcher.Fleet> {
   const halls = Array.from({ length: shape.halls }, (_, index) => ({ id: `hall-${index}`, region: 'region', entryNodes: shape.entryNodesPerHall }))
   return await launcher.startFleet(processes, {
@@ -28,7 +28,7 @@
   })
 }
 
-/** What one daemon uses while nothing happens. */
+/** Resource usage of an idle daemon. */
 export interface IdleCost {
   readonly role: types.MemberRole
   readonly members: number
@@ -39,11 +39,11 @@
   readonly platformCallsPerSecond: number
 }
 
-/** Headers of one exchange in bytes, both directions together, as captured once. */
+/** Size of the headers of one exchange in bytes, both directions together, taken from a captured exchange. */
 const HEADER_BYTES = 480
 const PERCENT = 100
 
-/** Measures every daemon of a fleet over some seconds. */
+/** Measures the idle usage of every daemon of a fleet over `seconds`. */
 export async function measureIdle (fleet: launcher.Fleet, seconds: number): Promise<IdleCost[]> {
   const read = async (): Promise<Map<string, launcher.NodeStatus>> => {
     const statuses = await launcher.readStatuses(fleet, fleet.nodes)
--- a/packages/measure/src/_lib/editRow.ts
+++ b/packages/measure/src/_lib/editRow.ts
@@ -1,4 +1,4 @@
-/** Edits of the table by the experiments, through the platform like any operator's. */
+/** Edits the table for the experiments, through the platform as operators do. */
 import * as crypto from 'node:crypto'
 import type * as launcher from '@switchridge/launcher'
 import * as platform from '@switchridge/store'
@@ -8,15 +8,15 @@
 
 const PLATFORM_TIMEOUT_MS = 15_000
 
-/** Cells of a row by column. */
+/** Cell values of a row by column. */
 export type RowCells = Readonly<Record<string, types.CellValue>>
 
-/** Opens the platform of a fleet. */
+/** Opens the object store on the platform of a fleet. */
 export function openStore (fleet: Pick<launcher.Fleet, 'platformUrl'>): platform.ObjectStore {
   return platform.createObjectStore({ url: fleet.platformUrl, timeoutMs: PLATFORM_TIMEOUT_MS, agents: rpc.createHttpAgents() })
 }
 
-/** Sets cells of a row; returns the revision. */
+/** Sets cells of a row, adding the row if it is missing; returns the new revision. */
 export async function editRow (store: platform.ObjectStore, section: types.SectionName, row: string, cells: RowCells): Promise<number> {
   const stored = await tables.readTable(store)
   if (!stored.ok) throw stored.error
--- a/packages/measure/src/_lib/isolateHall.ts
+++ b/packages/measure/src/_lib/isolateHall.ts
@@ -1,7 +1,7 @@
-/** Cuts a data hall off from the others, and heals it, by the daemons' own drill. */
+/** Isolates a data hall from the others and reconnects it, through the daemons' RPC method `drill.cut`. */
 import * as launcher from '@switchridge/launcher'
 
-/** Cuts a hall off from the other halls, and its daemons from `alsoBlocked`. */
+/** Blocks the traffic between a hall and the other halls, and between the hall's daemons and `extraEndpoints`. */
 export async function isolateHall (fleet: launcher.Fleet, hall: string, extraEndpoints: readonly string[] = []): Promise<void> {
   const listEndpoints = (isInside: boolean): string[] => fleet.nodes
     .filter((node) => (node.hall === hall) === isInside)
@@ -9,7 +9,7 @@
   await blockEndpoints(fleet, (node) => node.hall === hall ? [...listEndpoints(false), ...extraEndpoints] : listEndpoints(true))
 }
 
-/** Heals every cut. */
+/** Removes all blocks. */
 export async function reconnectHall (fleet: launcher.Fleet): Promise<void> {
   await blockEndpoints(fleet, () => [])
 }
--- a/packages/measure/src/_lib/output.ts
+++ b/packages/measure/src/_lib/output.ts
@@ -1,4 +1,4 @@
-/** Results as lines of JSON, with the commit and the date that they belong to. */
+/** Writes results as lines of JSON, with the commit and the date of the run. */
 import * as childProcess from 'node:child_process'
 import * as fs from 'node:fs'
 import * as path from 'node:path'
@@ -11,7 +11,7 @@
 
 const SHORT_HASH_ARGS = ['rev-parse', '--short', 'HEAD']
 
-/** Creates the output; results go to `folder` as well when one is given. */
+/** Creates the output of an experiment; results are also written to `folder` if it is given. */
 export function createOutput (name: string, isJson: boolean, folder: string | undefined): Output {
   const lines: string[] = []
   const print = (result: object): void => {
@@ -37,7 +37,7 @@
     .join(' ')
 }
 
-/** The commit that is measured; `+` marks changes that are not committed. */
+/** Returns the short hash of the measured commit, with `+` appended if there are uncommitted changes. */
 export function readCommit (): string {
   try {
     const hash = childProcess.execFileSync('git', SHORT_HASH_ARGS, { encoding: 'utf8' }).trim()
--- a/packages/measure/src/main.ts
+++ b/packages/measure/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The load and experiment tool: `npm run measure -- burst --json`. */
+/** Command line of the measurements, for example `npm run measure -- burst --json`. */
 import yargs from 'yargs'
 import * as output from './_lib/output.js'
 import type * as controlFleet from './_lib/controlFleet.js'
@@ -9,7 +9,7 @@
 import * as runRouting from './runRouting/index.js'
 import * as runConfiguration from './runConfiguration/index.js'
 
-/** Reads shapes such as `3x2+4`: halls, entry nodes and backend servers in each. */
+/** Parses fleet shapes such as `3x2+4`: number of halls, entry nodes per hall and backend servers per hall. */
 function parseShapes (texts: readonly string[]): controlFleet.FleetShape[] {
   return texts.map((text) => {
     const [halls = 0, entryNodesPerHall = 0, backendsPerHall = 0] = text.split(/[x+]/).map(Number)
--- a/packages/measure/src/plotResults/index.ts
+++ b/packages/measure/src/plotResults/index.ts
@@ -1,8 +1,8 @@
-/** Draws results as SVG. */
+/** Plots results as SVG. */
 import * as fs from 'node:fs'
 import * as vega from 'vega'
 
-/** A bar of the plot. */
+/** A bar of the bar chart. */
 interface Bar {
   readonly label: string
   readonly value: number
@@ -12,11 +12,11 @@
 const BAR_HEIGHT = 22
 
 /**
- * Plots one number of each result as a bar.
+ * Plots one numeric field of each result as a bar.
  *
- * @param file - Results, one JSON object a line.
- * @param key - The number.
- * @param target - SVG file to write.
+ * @param file - Results file with one JSON object per line.
+ * @param key - Name of the field.
+ * @param target - Path of the SVG file to write.
  */
 export async function plotResults (file: string, key: string, target: string): Promise<void> {
   const results = fs.readFileSync(file, 'utf8').trim().split('\n').map((line) => JSON.parse(line) as Record<string, unknown>)
--- a/packages/measure/src/runBurst/index.ts
+++ b/packages/measure/src/runBurst/index.ts
@@ -1,4 +1,4 @@
-/** The burst: one version to N nodes, at the limit of paced links, with and without faults, against baselines. */
+/** Measures the rollout of one version to N nodes over rate-limited links, with and without faults, compared with baselines and the theoretical limit. */
 import * as path from 'node:path'
 import * as got from 'got'
 import * as launcher from '@switchridge/launcher'
@@ -14,28 +14,28 @@
   readonly sizes: readonly number[]
   readonly policies: readonly string[]
   readonly faults: readonly string[]
-  /** Size at which baselines, faults and weightings are measured. */
+  /** Number of nodes with which baselines, faults and weightings are measured. */
   readonly compareAt: number
   readonly mebibytes: number
   readonly chunkKibibytes: number
-  /** Seconds in which the origin's link carries four copies and a machine's two. */
+  /** Period in seconds in which the origin's link carries four copies of the weights and a node's link two. */
   readonly transferSeconds: number
   readonly logs?: string | undefined
-  /** Further lines of the settings' limits. */
+  /** Additional lines for the `[limits]` table of the settings. */
   readonly limits: string
 }
 
-/** One burst to run. */
+/** Parameters of one rollout. */
 interface Trial {
   readonly nodes: number
   readonly policy: string
   readonly favour: types.Favour
-  /** Part of the nodes that die in the middle. */
+  /** Fraction of the backend daemons that are killed during the rollout. */
   readonly dying: number
   readonly cutsHall: boolean
 }
 
-/** What one burst showed. */
+/** Result of one rollout. */
 export interface BurstResult extends Trial {
   readonly secondsToHalf: number
   readonly secondsToNinetyPercent: number
@@ -53,7 +53,7 @@
   readonly serving: number
 }
 
-/** Faults and weightings by name. */
+/** Faults and weightings by name; a weighting favours a fast rollout or few bytes from the origin. */
 export const FAULTS: Readonly<Record<string, Partial<Trial>>> = {
   'origin-bytes': { favour: 'origin-bytes' },
   'dying-5': { dying: 0.05 },
@@ -69,13 +69,15 @@
 const ORIGIN_COPIES_PER_TRANSFER = 4
 const LINK_COPIES_PER_TRANSFER = 2
 const SETTLE_MS = 2500
+/** Timeout of a rollout, as a multiple of the theoretical limit. */
 const TIMEOUT_TO_LIMIT_RATIO = 40
+/** Time at which faults are injected, as a fraction of the theoretical limit. */
 const FAULT_START_FRACTION = 0.4
 const ISOLATION_SECONDS = 3
 const POLL_MS = 200
 const ROW = 'model'
 
-/** Runs all bursts and reports each. */
+/** Runs all rollouts and reports the result of each. */
 export async function runBurst (options: BurstOptions, out: output.Output): Promise<BurstResult[]> {
   const results: BurstResult[] = []
   for (const [index, trial] of listTrials(options).entries()) {
@@ -167,7 +169,7 @@
   return describeTrial(trial, rates, { times, limitSeconds, originBytes: origin.bytes, before, after })
 }
 
-/** The fluid limit for the last replica: the origin's link, a machine's link, and all uploads together. */
+/** Computes the minimum time until the last replica has the weights, in the fluid model: bounded by the origin's link, a node's link and all upload capacity. */
 function computeLimit (rates: Rates, nodes: number): number {
   return Math.max(rates.bytes / rates.origin, rates.bytes / rates.link, nodes * rates.bytes / (rates.origin + nodes * rates.link))
 }
@@ -188,7 +190,7 @@
   return killedNodes
 }
 
-/** The origin and the platform stay in reach of the hall. */
+/** Isolates a hall from the other halls; it can still reach the origin and the platform. */
 async function isolateHallTemporarily (fleet: launcher.Fleet, hall: string): Promise<void> {
   await isolateHall.isolateHall(fleet, hall)
   await types.delay(ISOLATION_SECONDS * types.MILLISECONDS_IN_SECOND)
--- a/packages/measure/src/runCapacity/index.ts
+++ b/packages/measure/src/runCapacity/index.ts
@@ -1,4 +1,4 @@
-/** Works out the control cost of each role at the size of two years from now, from slopes that it measures. */
+/** Predicts the control cost of each role in a fleet of the target size, by linear regression over measurements of smaller fleets. */
 import * as fs from 'node:fs'
 import * as statisticsLibrary from 'simple-statistics'
 import * as launcher from '@switchridge/launcher'
@@ -13,19 +13,20 @@
   readonly shapes: readonly controlFleet.FleetShape[]
   readonly settleSeconds: number
   readonly seconds: number
-  /** File in which the table between the markers is replaced. */
+  /** Markdown file in which the tables between the markers are replaced. */
   readonly page?: string | undefined
 }
 
-/** A line fitted through the measured daemons. */
+/** Linear regression over the measured daemons. */
 interface Fit {
   readonly base: number
   readonly slope: number
   readonly rSquared: number
+  /** Largest x value among the measurements. */
   readonly largest: number
 }
 
-/** Predicted cost of one role at the size aimed for. */
+/** Predicted cost of a role at the target size. */
 export interface CapacityRow {
   readonly role: string
   readonly count: number
@@ -33,14 +34,16 @@
   readonly kilobytesPerSecond: number
   readonly cpuPercent: number
   readonly residentMebibytes: number
+  /** Whether the prediction extrapolates beyond the measurements. */
   readonly isBeyondMeasured: boolean
 }
 
+/** Size for which the costs are predicted: the fleet expected in two years. */
 const TARGET_SHAPE = { halls: 8, entryNodesPerHall: 46, backendsPerHall: 138 }
 const BYTES_IN_KILOBYTE = 1000
 const MARKER = /(<!-- measured -->\n)[\s\S]*?(<!-- end -->)/
 
-/** Measures the shapes, fits the slopes and predicts. */
+/** Measures fleets of the given shapes, fits the regressions and predicts the costs at the target size. */
 export async function runCapacity (options: CapacityOptions, out: output.Output): Promise<CapacityRow[]> {
   const costs: controlFleet.IdleCost[] = []
   for (const shape of options.shapes) {
@@ -89,7 +92,7 @@
   return { base: statistics.round(line.b), slope: statistics.round(line.m, 4), rSquared: statistics.round(rSquared), largest: statistics.round(Math.max(...points.map(([x]) => x ?? 0))) }
 }
 
-/** Counts the exchanges of every daemon at the size aimed for with the daemons' own functions. */
+/** Predicts the costs per role; counts the exchanges of every daemon at the target size with the functions that the daemons use. */
 function predict (cpu: Fit, bytes: Fit, memory: Fit): CapacityRow[] {
   const fleet = makeTargetFleet()
   const hallSize = TARGET_SHAPE.entryNodesPerHall + TARGET_SHAPE.backendsPerHall
--- a/packages/measure/src/runConfiguration/index.ts
+++ b/packages/measure/src/runConfiguration/index.ts
@@ -1,4 +1,4 @@
-/** Time from an accepted edit until it is in force on every daemon, with the platform up, slow and down, and a hall cut off. */
+/** Measures the time from an accepted edit until every daemon has adopted it: with the platform up, slow or after an outage, and with an isolated hall. */
 import * as got from 'got'
 import * as launcher from '@switchridge/launcher'
 import type * as platform from '@switchridge/store'
@@ -17,7 +17,7 @@
   readonly logs?: string | undefined
 }
 
-/** Delays of the edits of one scenario, in seconds until the last daemon. */
+/** Delays of the edits in one scenario, in seconds until the last daemon adopts them. */
 export interface ConfigurationResult {
   readonly scenario: string
   readonly daemons: number
@@ -100,14 +100,14 @@
   return await waitForAdoption(fleet, revision, Date.now())
 }
 
-/** Seconds from `since` until the last daemon's log says that it adopted the revision or a later one. */
+/** Waits until every daemon's log shows that it adopted the revision; returns the seconds from `since` to the last of them. */
 async function waitForAdoption (fleet: launcher.Fleet, revision: number, since: number): Promise<number> {
   const readAdoptionTimes = (node: launcher.FleetNode): number[] => logTimes.readEventTimes(node.process.logFile, 'table-adopted', `revision=${revision} `)
   await launcher.waitUntil(() => fleet.nodes.every((node) => readAdoptionTimes(node).length > 0), TIMEOUT_MS, `revision ${revision} everywhere`)
   return (Math.max(...fleet.nodes.map((node) => readAdoptionTimes(node)[0] ?? 0)) - since) / types.MILLISECONDS_IN_SECOND
 }
 
-/** The platform is down for a while; the edit comes as soon as it is back. */
+/** Measures an edit right after an outage of the platform. */
 async function measureEditAfterOutage (fleet: launcher.Fleet, store: platform.ObjectStore): Promise<number[]> {
   await setFaults(fleet, { isDown: true })
   await types.delay(OUTAGE_MS)
@@ -115,7 +115,7 @@
   return [await measureEdit(fleet, store)]
 }
 
-/** A hall is cut off from the others and the platform while an edit is made; counted from the healing on. */
+/** Measures an edit made while a hall is isolated from the other halls and the platform, from the time the hall is reconnected. */
 async function measureEditDuringIsolation (fleet: launcher.Fleet, store: platform.ObjectStore): Promise<number[]> {
   const hall = fleet.nodes.at(-1)?.hall ?? ''
   const platformEndpoint = fleet.platformUrl.replace('http://', '')
--- a/packages/measure/src/runRouting/index.ts
+++ b/packages/measure/src/runRouting/index.ts
@@ -1,4 +1,4 @@
-/** Delay, refusals, retries and fairness of calls for every way to choose a backend server, against one shared queue. */
+/** Measures latency, refusals, retries and fairness of calls for each policy that picks a backend server, compared with one shared queue. */
 import * as crypto from 'node:crypto'
 import * as launcher from '@switchridge/launcher'
 import * as rpc from '@switchridge/rpc'
@@ -17,7 +17,7 @@
   readonly seed: number
 }
 
-/** What one load showed. */
+/** Result of one load. */
 export interface RoutingResult {
   readonly policy: string
   readonly entryNodes: number
@@ -38,12 +38,14 @@
 const BACKENDS = 8
 const SLOTS = 4
 const QUEUE = 2
+/** Mean service time of a call. */
 const MEAN_SERVICE_MS = 100
 const SERVICE = 'work'
 const SETTLE_MS = 2500
 const WARM_UP_SECONDS = 3
 const WARM_UP_LOAD = 0.5
 const CALL_TIMEOUT_MS = 20_000
+/** Call rate of the small account in the fairness experiment. */
 const SMALL_CALLS_PER_SECOND = 8
 const API_KEYS = { large: 'key-of-the-large-account', small: 'key-of-the-small-account' } as const
 
@@ -55,7 +57,7 @@
   readonly delayMs: number
 }
 
-/** Runs all loads. */
+/** Runs all loads for every combination of policy and number of entry nodes that is measured. */
 export async function runRouting (options: RoutingOptions, out: output.Output): Promise<RoutingResult[]> {
   const results: RoutingResult[] = []
   for (const [policy, entryNodes] of listFleets(options)) {
@@ -81,7 +83,7 @@
   return results
 }
 
-/** Every policy with the first number of entry nodes, and the first policy with every number. */
+/** Lists the fleets to measure: each policy with the first number of entry nodes, and the first policy with each other number. */
 function listFleets (options: RoutingOptions): Array<[string, number]> {
   const first = options.entryNodes[0] ?? 1
   const policy = options.policies[0] ?? ''
@@ -174,7 +176,7 @@
   return outcomes.filter((each) => each.outcome === 'answered').map((each) => each.delayMs)
 }
 
-/** A small account alone, and beside a large one that floods. */
+/** Measures the 99th percentile latency of a small account alone and while a large account sends more calls than the back ends can handle. */
 async function measureFairness (fleet: launcher.Fleet, agents: rpc.HttpAgents, options: RoutingOptions): Promise<object> {
   const small = arrivals.drawArrivals(options.seed + 1, SMALL_CALLS_PER_SECOND, 2 * options.seconds, MEAN_SERVICE_MS)
   const flood = arrivals.drawArrivals(options.seed + 2, computeCallRate(1.3), 2 * options.seconds, MEAN_SERVICE_MS)
@@ -186,7 +188,7 @@
 
 const PROBE_COUNT = 400
 
-/** One call after the other that does almost no work, directly and through entry node and daemon. */
+/** Measures the latency that the entry node and the daemon add, with sequential calls that do almost no work. */
 async function measureAddedLatency (fleet: launcher.Fleet, agents: rpc.HttpAgents): Promise<object> {
   const direct: number[] = []
   const throughEntry: number[] = []
--- a/packages/standins/src/_lib/admin.ts
+++ b/packages/standins/src/_lib/admin.ts
@@ -1,8 +1,8 @@
-/** Faults that tests and the demo set on a stand-in while it runs. */
+/** Admin endpoints through which tests and the demo set faults on a running stand-in and read its counters. */
 import type * as Koa from 'koa'
 import * as rpc from '@switchridge/rpc'
 
-/** Middleware for `PUT /admin/faults` and `GET /admin/counts`. */
+/** Creates middleware that handles `PUT /admin/faults`, which merges the body into the faults, and `GET /admin/counts`. */
 export function createAdmin<Faults extends object> (faults: Faults, readCounts: () => unknown): Koa.Middleware {
   return async (context, next) => {
     if (context.path === '/admin/faults' && context.method === 'PUT') {
--- a/packages/standins/src/computeAnswer/index.ts
+++ b/packages/standins/src/computeAnswer/index.ts
@@ -1,4 +1,4 @@
-/** The answer of an engine: bytes of its weights at places that the prompt chooses. */
+/** Answers of the engine stand-in: bytes of its weights at offsets derived from the prompt. */
 import * as crypto from 'node:crypto'
 
 const TOKEN_BYTES = 8
@@ -7,10 +7,10 @@
 /**
  * Computes one token of an answer.
  *
- * @param weights - All bytes that the engine holds for the version.
+ * @param weights - Weights of the version that the engine holds.
  * @param prompt - The caller's prompt.
- * @param index - Number of the token.
- * @returns The token; it is another one when the bytes behind it are.
+ * @param index - Index of the token in the answer.
+ * @returns The token; wrong weights at its offset give another token.
  */
 export function computeToken (weights: Buffer, prompt: string, index: number): string {
   const digest = crypto.createHash('sha256').update(`${prompt}\n${index}`).digest()
@@ -21,7 +21,7 @@
 /**
  * Computes a whole answer.
  *
- * @param weights - All bytes of the version.
+ * @param weights - Weights of the version.
  * @param prompt - The caller's prompt.
  * @param tokens - Number of tokens.
  * @returns The tokens in order.
--- a/packages/standins/src/computeWeights/index.ts
+++ b/packages/standins/src/computeWeights/index.ts
@@ -1,7 +1,7 @@
-/** Weights that anybody can compute again from a seed, to check answers against. */
+/** Pseudo-random weights that can be recomputed from their seeds, to check answers against. */
 import * as crypto from 'node:crypto'
 
-/** A stretch of a file of weights; versions share stretches with the same seed. */
+/** A contiguous part of a weights file; parts with the same seed and size have the same bytes, so versions can share them. */
 export interface WeightsPart {
   readonly seed: string
   readonly bytes: number
@@ -10,9 +10,9 @@
 const KEY_BYTES = 16
 
 /**
- * Computes the bytes of a file of weights.
+ * Computes the bytes of a weights file.
  *
- * @param parts - Its stretches in order.
+ * @param parts - Parts of the file in order.
  * @returns The bytes, the same in every process.
  */
 export function computeWeights (parts: readonly WeightsPart[]): Buffer {
--- a/packages/standins/src/createEngineStandIn/index.ts
+++ b/packages/standins/src/createEngineStandIn/index.ts
@@ -1,4 +1,4 @@
-/** Stand-in of a model engine: fenced orders to load and unload versions, and answers computed from the bytes it holds. */
+/** Stand-in for a model engine: loads and unloads versions on fenced orders, and computes answers from the weights that it holds. */
 import * as crypto from 'node:crypto'
 import * as stream from 'node:stream'
 import * as timers from 'node:timers/promises'
@@ -9,22 +9,23 @@
 import * as admin from '../_lib/admin.js'
 import * as computeAnswer from '../computeAnswer/index.js'
 
-/** Faults of an engine. */
+/** Faults that an engine can simulate. */
 export interface EngineFaults {
-  /** Multiplies the time of every token. */
+  /** Factor applied to the time per token. */
   slowFactor: number
-  /** Accepts calls and never answers. */
+  /** Whether it accepts calls but never answers. */
   isStuck: boolean
-  /** Breaks the connection after this many tokens; -1 for never. */
+  /** Number of tokens after which it closes the connection; -1 to disable. */
   breakAfterTokens: number
 }
 
 /** Options of {@link createEngineStandIn}. */
 export interface EngineOptions {
+  /** Whether it refuses orders whose fence is not newer than the last one. */
   readonly checksFences: boolean
-  /** Milliseconds for one token. */
+  /** Time per token in milliseconds. */
   readonly tokenMs: number
-  /** False for an engine that takes the daemon's word for the bytes; measurements of many nodes on one machine use it. */
+  /** Whether it reads the weights on load; if not, it relies on the daemon for them. Measurements of many nodes on one machine turn it off. */
   readonly readsWeights: boolean
 }
 
@@ -39,7 +40,7 @@
 const generateSchema = zod.object({
   prompt: zod.string(),
   tokens: zod.int().min(1).max(10_000).default(8),
-  /** Milliseconds of work in all, for load tools; it overrides the time of a token. */
+  /** Total processing time in milliseconds, set by load generators; overrides the time per token. */
   workMs: zod.number().min(0).optional()
 })
 
@@ -51,7 +52,7 @@
 }
 
 /**
- * Creates the stand-in of an engine.
+ * Creates the stand-in for an engine.
  *
  * @param options - Behaviour of the engine.
  * @returns A koa application.
@@ -127,7 +128,7 @@
     try {
       for (; sent < call.tokens; sent += 1) {
         if (faults.isStuck) await timers.setTimeout(3_600_000, undefined, { ref: false })
-        if (sent === faults.breakAfterTokens) throw new Error('engine broke')
+        if (sent === faults.breakAfterTokens) throw new Error('simulated fault: connection closed after the configured number of tokens')
         if (tokenMs > 0) await timers.setTimeout(tokenMs)
         const token = version.bytes === null ? 'token' : computeAnswer.computeToken(version.bytes, call.prompt, sent)
         yield JSON.stringify({ token }) + '\n'
--- a/packages/standins/src/createLinkNetwork/index.ts
+++ b/packages/standins/src/createLinkNetwork/index.ts
@@ -1,98 +1,99 @@
-/** A network with narrow links in memory, on the runtime's timers: fleets of hundreds of daemons fit into one test. */
+/** In-memory network simulation with bandwidth-limited links, driven by the runtime's timers, so that one test can run hundreds of daemons. */
 
-/** A host of the network. */
+/** A host in the network. */
 export interface NetworkHost {
   readonly host: string
   readonly region: string
-  /** Bytes a millisecond that its link carries in each direction. */
+  /** Bandwidth of the host's link in bytes per millisecond, in each direction. */
   readonly bytesPerMs: number
 }
 
-/** Options of {@link createLinkNetwork}. */
+/** Options of a simulated network. */
 export interface LinkNetworkOptions {
   readonly hosts: readonly NetworkHost[]
-  /** Bytes a millisecond between two regions in each direction, for all hosts together. */
+  /** Bandwidth between two regions in bytes per millisecond, in each direction, shared by all hosts. */
   readonly regionBytesPerMs: number
-  /** Milliseconds one way within a region and between two. */
+  /** One-way latency within a region, in milliseconds. */
   readonly nearMs: number
+  /** One-way latency between two regions, in milliseconds. */
   readonly farMs: number
-  /** The clock that the timers run by, in milliseconds. */
+  /** Reads the clock that the timers follow, in milliseconds. */
   readonly now: () => number
 }
 
-/** What crossed the network. */
+/** Traffic counters of the network. */
 export interface NetworkCounts {
   datagrams: number
   droppedDatagrams: number
-  /** Bytes of datagrams and streams, without those that were dropped. */
+  /** Delivered bytes of datagrams and streams; dropped datagrams don't count. */
   bytes: number
-  /** Bytes that crossed from one region to another. */
+  /** Delivered bytes that crossed between regions. */
   regionBytes: number
 }
 
-/** A socket for datagrams. */
+/** A datagram socket. */
 export interface NetworkSocket {
   readonly send: (host: string, bytes: Buffer) => void
   readonly close: () => void
 }
 
-/** When the receiver of a stream ends it, never when absent, and who hears of its bytes. */
+/** Timeouts, cancellation and progress callback of a stream; a timeout that is absent doesn't apply. */
 export interface StreamLimits {
-  /** Milliseconds for the whole stream. */
+  /** Timeout of the whole stream in milliseconds. */
   readonly wholeMs?: number
-  /** Milliseconds without a byte. */
+  /** Timeout in milliseconds without a received byte. */
   readonly quietMs?: number
   readonly signal?: AbortSignal
-  /** Told of bytes as they arrive. */
+  /** Called with the number of bytes of each packet that arrives. */
   readonly onBytes?: (bytes: number) => void
 }
 
-/** The network. */
+/** A simulated network. */
 export interface LinkNetwork {
-  /** Opens the one socket of a host. */
+  /** Opens the datagram socket of a host; each host has one. */
   readonly openDatagrams: (host: string, onDatagram: (bytes: Buffer, from: string) => void) => NetworkSocket
-  /** Carries a stream of so many bytes; resolves when the last one has arrived, or false when it was cut by its limits. */
+  /** Transfers a stream of `bytes` bytes; resolves to true when the last one has arrived, or to false on a timeout or abort. */
   readonly carry: (from: string, to: string, bytes: number, limits?: StreamLimits) => Promise<boolean>
-  /** Bytes that a host has received. */
+  /** Number of bytes that a host has received. */
   readonly received: (host: string) => number
   readonly counts: NetworkCounts
-  /** From now on nothing that the host sends or is sent arrives, until it is joined again. */
+  /** Disconnects a host: nothing that it sends or is sent arrives until it is reconnected. */
   readonly cut: (host: string) => void
   readonly join: (host: string) => void
-  /** From now on the host's link carries so many bytes a millisecond in each direction, also of what already waits for it. */
+  /** Sets the bandwidth of a host's link in each direction; it also applies to packets that are already queued. */
   readonly setRate: (host: string, bytesPerMs: number) => void
-  /** From now on nothing passes between a region and all others, until it is joined again. */
+  /** Disconnects a region from all others until it is reconnected. */
   readonly cutRegion: (region: string) => void
   readonly joinRegion: (region: string) => void
 }
 
-/** A packet that waits for a link or crosses it. */
+/** A packet that is queued at a link or being sent over it. */
 interface QueuedPacket {
   readonly onSent: () => void
   readonly timer: NodeJS.Timeout
   readonly sentAt: number
 }
 
-/** One direction of a link; it carries one packet after the other. */
+/** One direction of a link; it sends one packet at a time, in order. */
 interface Link {
   bytesPerMs: number
   freeAt: number
   readonly queue: Set<QueuedPacket>
 }
 
-/** Streams are cut into packets, so that those that share a link take turns. */
+/** Size of a stream's packets. Streams are split into packets so that streams on the same link share its bandwidth. */
 const PACKET_BYTES = 8192
-/** Packets of one stream that are under way at a time. */
+/** Maximum number of packets in flight for one stream. */
 const WINDOW_PACKETS = 4
-/** A datagram that would wait longer at a link is dropped, as by a router with a short queue. */
+/** A datagram that would queue longer than this at a link is dropped, as a router with a short queue does. */
 const DATAGRAM_QUEUE_MS = 150
-/** Bytes of headers that each datagram costs. */
+/** Size of the IP and UDP headers of a datagram. */
 const HEADER_BYTES = 28
 
 /**
- * Creates a network.
+ * Creates a simulated network.
  *
- * @param options - Hosts, the rates of their links and of those between regions.
+ * @param options - Hosts, bandwidths, latencies and the clock.
  * @returns The network.
  */
 export function createLinkNetwork (options: LinkNetworkOptions): LinkNetwork {
@@ -114,7 +115,7 @@
 
   function findHost (host: string): NetworkHost {
     const found = hosts.get(host)
-    if (found === undefined) throw new Error(`no host ${host} in this network`)
+    if (found === undefined) throw new Error(`unknown host ${host}`)
     return found
   }
 
@@ -136,7 +137,7 @@
     receivedBytes.set(to, (receivedBytes.get(to) ?? 0) + bytes)
   }
 
-  /** Takes a packet over one link after the other; `onArrival` is called at its end, `onDrop` if a queue is too long. */
+  /** Sends a packet over each link of the path in turn. Calls `onArrival` after the last one, or `onDrop` if the wait at a link exceeds `maxQueueMs`. */
   function forward (path: readonly Link[], hop: number, bytes: number, maxQueueMs: number, delayMs: number, onArrival: () => void, onDrop: () => void): void {
     const link = path[hop]
     if (link === undefined) {
@@ -162,7 +163,7 @@
     }
   }
 
-  /** What is left of all packets that wait takes so much longer, or shorter. */
+  /** Changes the bandwidth of a link and reschedules its queued packets: their remaining times scale with the change. */
   function changeRate (link: Link, bytesPerMs: number): void {
     const now = options.now()
     const factor = link.bytesPerMs / bytesPerMs
--- a/packages/standins/src/createLinkNetwork/test.ts
+++ b/packages/standins/src/createLinkNetwork/test.ts
@@ -16,19 +16,19 @@
   }
 }
 
-nodeTest.test('two streams share a link, and a stream between regions takes the narrower one', async (context) => {
+nodeTest.test('two streams share a link, and the inter-region link limits a stream between regions', async (context) => {
   const network = createNetwork(context)
   const doneAt: number[] = []
   for (const to of ['b', 'c']) void network.carry('a', to, 100_000).then(() => { doneAt.push(Date.now()) })
   await advance(context, 3000)
   assert.equal(doneAt.length, 2)
   const [first, last] = doneAt as [number, number]
-  assert.ok(first >= 1400, `${first} ms for 100 kB over a link of 100 kB a second that another stream shares`)
-  assert.ok(last >= 2000 && last <= 2700, `${last} ms for 100 kB over a region link of 50 kB a second, which two others on the way may delay`)
+  assert.ok(first >= 1400, `${first} ms for 100 kB over a link of 100 kB/s that another stream shares`)
+  assert.ok(last >= 2000 && last <= 2700, `${last} ms for 100 kB over an inter-region link of 50 kB/s; the two host links on the path may add delay`)
   assert.equal(network.counts.regionBytes, 100_000)
 })
 
-nodeTest.test('a datagram is dropped by a full link, and nothing arrives at a host that is cut off', async (context) => {
+nodeTest.test('a full link drops datagrams, and a disconnected host receives none', async (context) => {
   const network = createNetwork(context)
   const receivedDatagrams: string[] = []
   network.openDatagrams('b', (bytes, from) => { receivedDatagrams.push(`${from}: ${bytes.toString()}`) })
--- a/packages/standins/src/createOriginStandIn/index.ts
+++ b/packages/standins/src/createOriginStandIn/index.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the origin of weights: ranges (RFC 9110) over one rate-limited link. */
+/** Stand-in for the origin server of weights: serves byte ranges (RFC 9110) over one rate-limited link. */
 import * as stream from 'node:stream'
 import * as timers from 'node:timers/promises'
 import Koa from 'koa'
@@ -7,24 +7,24 @@
 import * as admin from '../_lib/admin.js'
 import * as computeWeights from '../computeWeights/index.js'
 
-/** Faults of the origin. */
+/** Faults that the origin can simulate. */
 export interface OriginFaults {
-  /** Answers with this status instead of bytes; 0 for none. */
+  /** HTTP status to answer every request with instead of bytes; 0 to disable. */
   status: number
-  /** Answers that stop in the middle and stay open. */
+  /** Whether responses stall in the middle with the connection left open. */
   stall: boolean
-  /** Every n-th answer closes in the middle; 0 for none. */
+  /** Closes the connection in the middle of every n-th response; 0 to disable. */
   closeEvery: number
-  /** Every n-th answer has a wrong byte; 0 for none. */
+  /** Corrupts one byte of every n-th response; 0 to disable. */
   corruptEvery: number
 }
 
-/** What a publisher puts at the origin. */
+/** Body of a request to publish a file. */
 interface PublishedFile {
   readonly name: string
   readonly parts: readonly computeWeights.WeightsPart[]
   readonly chunkBytes: number
-  /** Keeps the manifest and changes only the bytes, as a careless publisher would. */
+  /** Replaces the bytes but keeps the existing manifest, so that the two no longer match, as after a publisher's mistake. */
   readonly keepManifest?: boolean
 }
 
@@ -38,9 +38,9 @@
 const STALL_MS = 120_000
 
 /**
- * Creates the origin's stand-in.
+ * Creates the stand-in for the origin.
  *
- * @param bytesPerSecond - Limit of its link; 0 for none.
+ * @param bytesPerSecond - Bandwidth of its link; 0 for no limit.
  * @returns A koa application.
  */
 export function createOriginStandIn (bytesPerSecond: number): Koa {
@@ -70,7 +70,7 @@
     const breakAt = bytes.length / 2
     for (let offset = 0; offset < bytes.length; offset += SLICE_BYTES) {
       if (offset >= breakAt && faults.stall) await timers.setTimeout(STALL_MS, undefined, { ref: false })
-      if (offset >= breakAt && isEveryNth(number, faults.closeEvery)) throw new Error('closed in mid-range')
+      if (offset >= breakAt && isEveryNth(number, faults.closeEvery)) throw new Error('simulated fault: connection closed in the middle of a range')
       const slice = bytes.subarray(offset, offset + SLICE_BYTES)
       await link.take(slice.length)
       counts.bytes += slice.length
--- a/packages/standins/src/createPlainServiceStandIn/index.ts
+++ b/packages/standins/src/createPlainServiceStandIn/index.ts
@@ -1,23 +1,23 @@
-/** Stand-in of a plain service, such as stock and reservations; it counts how often each request ran. */
+/** Stand-in for a plain service, such as a stock or reservation API; counts how often each request was executed. */
 import * as timers from 'node:timers/promises'
 import Koa from 'koa'
 import * as rpc from '@switchridge/rpc'
 import * as admin from '../_lib/admin.js'
 
-/** Faults of a plain service. */
+/** Faults that a plain service can simulate. */
 export interface PlainServiceFaults {
-  /** Milliseconds of work for each request. */
+  /** Processing time of a request in milliseconds. */
   workMs: number
-  /** Runs the request and then breaks the connection, for every n-th; 0 for none. */
+  /** Executes every n-th request but closes the connection instead of answering; 0 to disable. */
   loseEvery: number
 }
 
 const MAX_BODY_BYTES = 8 * 1024 * 1024
 
 /**
- * Creates the stand-in of a plain service.
+ * Creates the stand-in for a plain service.
  *
- * @param workMs - Milliseconds of work for each request.
+ * @param workMs - Processing time of a request in milliseconds, unless its `x-work-ms` header sets another.
  * @returns A koa application.
  */
 export function createPlainServiceStandIn (workMs: number): Koa {
--- a/packages/standins/src/createPlatformStandIn/index.ts
+++ b/packages/standins/src/createPlatformStandIn/index.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the platform: object API with versions, conditional updates, watches and rate limits, and the lagging node list. */
+/** Stand-in for the platform: object API with versions, conditional updates, watches and rate limits, and a node list that lags behind. */
 import * as timers from 'node:timers/promises'
 import Koa from 'koa'
 import * as platform from '@switchridge/store'
@@ -6,13 +6,13 @@
 import * as types from '@switchridge/types'
 import * as admin from '../_lib/admin.js'
 
-/** Faults of the platform. */
+/** Faults that the platform can simulate. */
 export interface PlatformFaults {
   isDown: boolean
   delayMs: number
-  /** Writes whose answer is lost after they took effect. */
+  /** Number of writes still to come that take effect but whose response is lost. */
   loseAnswers: number
-  /** Milliseconds by which the node list lags. */
+  /** Delay in milliseconds until a change appears in the node list. */
   nodeLagMs: number
 }
 
@@ -29,13 +29,13 @@
   readonly at: number
 }
 
-/** Holds one second's worth of calls. */
+/** Creates a token bucket that holds one second's worth of calls. */
 function createRateLimiter (perSecond: number): types.TokenBucket {
   return types.createTokenBucket({ perSecond, capacity: perSecond, tokens: perSecond, now: () => performance.now() })
 }
 
 /**
- * Creates the platform's stand-in.
+ * Creates the stand-in for the platform.
  *
  * @returns A koa application.
  */
--- a/packages/standins/src/createRandom/index.ts
+++ b/packages/standins/src/createRandom/index.ts
@@ -1,13 +1,13 @@
-/** Random numbers that are the same for the same seed. */
+/** Seeded pseudo-random numbers, reproducible for the same seed. */
 
 const MODULUS = 2_147_483_647
 const MULTIPLIER = 48_271
 
 /**
- * Creates a generator (Lehmer's, with the figures of Park and Miller).
+ * Creates a generator: the Lehmer generator with the revised constants of Park and Miller.
  *
- * @param seed - A whole number from 1 on.
- * @returns Returns a number between 0 and 1 each time.
+ * @param seed - A positive integer below 2^31 - 1.
+ * @returns A function that returns the next number between 0 and 1.
  */
 export function createRandom (seed: number): () => number {
   let value = seed
--- a/packages/standins/src/createTimeline/index.ts
+++ b/packages/standins/src/createTimeline/index.ts
@@ -1,19 +1,19 @@
-/** Actions in the order of their times, for simulations without a runtime's clock. */
+/** Virtual clock with a queue of scheduled actions, for discrete-event simulations that don't use the runtime's clock. */
 
-/** A clock of its own with actions to come. */
+/** A virtual clock with scheduled actions. */
 export interface Timeline {
-  /** Milliseconds. */
+  /** Current virtual time in milliseconds. */
   readonly now: () => number
-  /** Calls at a time; actions of the same time in the order in which they were added. */
+  /** Schedules an action; actions with the same time run in the order in which they were scheduled. */
   readonly at: (time: number, action: () => void) => void
-  /** Lets time pass up to a time, or to the last action where that is Infinity. */
+  /** Runs the actions due until a time and advances the clock to it; with Infinity the clock stops at the last action. */
   readonly run: (until: number) => void
 }
 
 /**
- * Creates a timeline at time 0.
+ * Creates a virtual clock that starts at time 0.
  *
- * @returns The timeline.
+ * @returns The clock.
  */
 export function createTimeline (): Timeline {
   const heap: Array<{ readonly time: number, readonly order: number, readonly action: () => void }> = []
--- a/packages/standins/src/createTimeline/test.ts
+++ b/packages/standins/src/createTimeline/test.ts
@@ -3,7 +3,7 @@
 import * as fastCheck from 'fast-check'
 import * as createTimeline from './index.js'
 
-nodeTest.test('actions come in the order of their times, and of their adding at the same time', () => {
+nodeTest.test('actions run in order of their times, and in scheduling order at the same time', () => {
   fastCheck.assert(fastCheck.property(fastCheck.array(fastCheck.nat(20)), (times) => {
     const timeline = createTimeline.createTimeline()
     const calls: Array<readonly [number, number]> = []
@@ -14,7 +14,7 @@
   }), { seed: 7 })
 })
 
-nodeTest.test('time may pass in parts, and an action waits for its own', () => {
+nodeTest.test('the clock can advance in steps, and an action runs only when it is due', () => {
   const timeline = createTimeline.createTimeline()
   const calls: number[] = []
   for (const time of [5, 10, 15]) timeline.at(time, () => { calls.push(timeline.now()) })
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Small stand-ins of the systems that switchridge meets, for the demo, tests and measurements. */
+/** Stand-ins for the external systems that switchridge talks to, for the demo, tests and measurements. */
 export * from './computeAnswer/index.js'
 export * from './computeWeights/index.js'
 export * from './createEngineStandIn/index.js'
--- a/packages/standins/src/main.ts
+++ b/packages/standins/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Runs one stand-in as a process: `main.js platform --port 6000`. */
+/** Runs one kind of stand-in as a process, for example `main.js platform --port 6000`. */
 import yargs from 'yargs'
 import type koa from 'koa'
 import * as rpc from '@switchridge/rpc'
--- a/scripts/build-target.mjs
+++ b/scripts/build-target.mjs
@@ -1,5 +1,5 @@
 /**
- * Bundles the daemon into target/, so that a start reads few files.
+ * Bundles the daemon into target/ so that it reads few files on startup.
  */
 import * as fs from 'node:fs'
 import * as esbuild from 'esbuild'
@@ -7,10 +7,10 @@
 const REQUIRE_BANNER = "import { createRequire as createBundleRequire } from 'node:module'; const require = createBundleRequire(import.meta.url);"
 
 /**
- * The web framework's table of all media types is half of what a start reads, in two copies; daemons send four of them, which `media-types.json` lists
- * as the table does.
+ * The package with koa's table of all media types. Two copies of it would make up half of what is read on startup, and daemons send only four
+ * media types, so the bundle uses `media-types.json` instead, which lists those four in the same format.
  */
-const MEDIA_TYPES = 'mime-db'
+const MEDIA_TYPES_PACKAGE = 'mime-db'
 
 fs.rmSync('target', { recursive: true, force: true })
 
@@ -27,10 +27,10 @@
   legalComments: 'none',
   logLevel: 'warning',
   banner: { js: REQUIRE_BANNER },
-  alias: { ...await readWorkspaceAliases(), [MEDIA_TYPES]: './scripts/media-types.json' }
+  alias: { ...await readWorkspaceAliases(), [MEDIA_TYPES_PACKAGE]: './scripts/media-types.json' }
 })
 
-/** Workspace packages are bundled from their sources, so that the build needs no compiled files. */
+/** Maps workspace packages to their sources, so that the bundle doesn't depend on compiled files. */
 async function readWorkspaceAliases () {
   const folders = [...fs.readdirSync('packages').map((name) => `packages/${name}`), 'platform']
   const aliases = {}
--- a/scripts/run-tests.mjs
+++ b/scripts/run-tests.mjs
@@ -1,7 +1,7 @@
 /**
- * Runs every compiled test file with the runtime's own test runner.
- * Arguments, if any, keep only the files whose path contains one of them.
- * A failure that KNOWN-RED.txt lists is printed and passed over; any other one fails the run.
+ * Runs the compiled test files with the Node.js test runner.
+ * With arguments, it runs only the files whose path contains one of them.
+ * Failures of tests listed in KNOWN-RED.txt are printed but don't fail the run; any other failure does.
  */
 import * as fs from 'node:fs'
 import * as path from 'node:path'
@@ -9,10 +9,10 @@
 import * as reporters from 'node:test/reporters'
 
 const FOLDERS = ['packages', 'platform']
-const KNOWN_RED = 'KNOWN-RED.txt'
-/** Separates the name of a test, the cause and the issue. */
+const KNOWN_FAILURES_FILE = 'KNOWN-RED.txt'
+/** Separates the test name, the cause and the issue in a line of the file. */
 const SEPARATOR = ' | '
-const Spec = reporters.spec
+const SpecReporter = reporters.spec
 const filters = process.argv.slice(2)
 
 function findTestFiles (folder) {
@@ -22,18 +22,18 @@
     .map((entry) => path.join(entry.parentPath ?? entry.path, entry.name))
 }
 
-function readKnownRed () {
-  if (!fs.existsSync(KNOWN_RED)) return new Map()
-  const lines = fs.readFileSync(KNOWN_RED, 'utf8').split('\n').filter((line) => line.trim() !== '')
+function readKnownFailures () {
+  if (!fs.existsSync(KNOWN_FAILURES_FILE)) return new Map()
+  const lines = fs.readFileSync(KNOWN_FAILURES_FILE, 'utf8').split('\n').filter((line) => line.trim() !== '')
   return new Map(lines.map((line) => {
     const parts = line.split(SEPARATOR)
-    if (parts.length !== 3) throw new Error(`${KNOWN_RED}: "${line}" is not "test${SEPARATOR}cause${SEPARATOR}issue"`)
+    if (parts.length !== 3) throw new Error(`${KNOWN_FAILURES_FILE}: "${line}" is not "test${SEPARATOR}cause${SEPARATOR}issue"`)
     return [parts[0], line]
   }))
 }
 
-/** A test that only failed because of one within it is counted by that one. */
-function isFailedByParts (event) {
+/** A test that failed only because of its subtests is not counted; the failed subtests are. */
+function isFailedBySubtests (event) {
   return event.details.error?.failureType === 'subtestsFailed'
 }
 
@@ -45,24 +45,24 @@
   .map((file) => path.resolve(file))
   .sort()
 
-const knownRed = readKnownRed()
-const red = []
-const mended = []
-let failed = 0
+const knownFailures = readKnownFailures()
+const failedAsKnown = []
+const unexpectedPasses = []
+let failedCount = 0
 
 process.execArgv.push('--enable-source-maps')
 const stream = nodeTest.run({ files, concurrency: true })
 stream.on('test:fail', (event) => {
-  if (isFailedByParts(event)) return
-  if (knownRed.has(event.name)) red.push(event.name)
-  else failed += 1
+  if (isFailedBySubtests(event)) return
+  if (knownFailures.has(event.name)) failedAsKnown.push(event.name)
+  else failedCount += 1
 })
-stream.on('test:pass', (event) => { if (knownRed.has(event.name)) mended.push(event.name) })
-const report = stream.compose(new Spec())
+stream.on('test:pass', (event) => { if (knownFailures.has(event.name)) unexpectedPasses.push(event.name) })
+const report = stream.compose(new SpecReporter())
 report.pipe(process.stdout, { end: false })
 report.on('end', () => {
-  for (const name of red) process.stdout.write(`known red: ${knownRed.get(name)}\n`)
-  for (const name of mended) process.stdout.write(`listed in ${KNOWN_RED}, but passed this time: ${name}\n`)
-  if (failed === 0) process.stdout.write(`no other test failed; ${red.length} known red\n`)
-  process.exitCode = failed > 0 ? 1 : 0
+  for (const name of failedAsKnown) process.stdout.write(`known red: ${knownFailures.get(name)}\n`)
+  for (const name of unexpectedPasses) process.stdout.write(`listed in ${KNOWN_FAILURES_FILE}, but passed this time: ${name}\n`)
+  if (failedCount === 0) process.stdout.write(`no other test failed; ${failedAsKnown.length} known red\n`)
+  process.exitCode = failedCount > 0 ? 1 : 0
 })
