--- a/packages/clock/src/createSteadyClock/index.ts
+++ b/packages/clock/src/createSteadyClock/index.ts
@@ -18,8 +18,9 @@
 
 /** A detected suspension. */
 export interface Suspension {
+  /** Its duration in milliseconds. */
   readonly lostMs: number
-  /** Time at which it ended, by the steady clock before it added the lost time. */
+  /** Time in milliseconds at which it ended, by the steady clock before it added the lost time. */
   readonly resumedAt: number
 }
 
@@ -59,8 +60,9 @@
 
 interface ClockJump {
   readonly jumpMs: number
-  /** Time of the machine's monotonic clock at which the jump was noticed. */
+  /** Time of the machine's monotonic clock in milliseconds at which the jump was noticed. */
   readonly at: number
+  /** Names of the peers whose clocks have moved ahead by about the jump, and of those whose clocks have not. */
   readonly aheadPeers: Set<string>
   readonly unmovedPeers: Set<string>
 }
@@ -77,35 +79,36 @@
   /** Offsets of the other two clocks from the monotonic one. */
   let timeOfDayOffsetMs = clocks.timeOfDay() - startedAt
   let uptimeOffsetMs = clocks.sinceStart() - startedAt
-  /** Null until it has been checked. */
+  /** Whether the uptime is that of this machine; null until it has been checked. */
   let isUptimeTrusted: boolean | null = null
+  /** Sum of all suspensions so far. */
   let lostMs = 0
   let unexplainedJump: ClockJump | null = null
 
   function now (): number {
-    const steady = clocks.steady()
-    if (isUptimeTrusted === null && steady - startedAt >= UPTIME_CHECK_MS) isUptimeTrusted = Math.abs(clocks.sinceStart() - steady - uptimeOffsetMs) <= CLOCK_TOLERANCE_MS
-    const offsetMs = clocks.timeOfDay() - steady
+    const monotonicMs = clocks.steady()
+    if (isUptimeTrusted === null && monotonicMs - startedAt >= UPTIME_CHECK_MS) isUptimeTrusted = Math.abs(clocks.sinceStart() - monotonicMs - uptimeOffsetMs) <= CLOCK_TOLERANCE_MS
+    const offsetMs = clocks.timeOfDay() - monotonicMs
     const jumpMs = offsetMs - timeOfDayOffsetMs
     timeOfDayOffsetMs = offsetMs
-    if (jumpMs >= JUMP_MINIMUM_MS) handleJump(jumpMs, steady)
-    else if (unexplainedJump !== null && steady - unexplainedJump.at > JUMP_EXPIRY_MS) unexplainedJump = null
-    return steady + lostMs
+    if (jumpMs >= JUMP_MINIMUM_MS) handleJump(jumpMs, monotonicMs)
+    else if (unexplainedJump !== null && monotonicMs - unexplainedJump.at > JUMP_EXPIRY_MS) unexplainedJump = null
+    return monotonicMs + lostMs
   }
 
-  function handleJump (jumpMs: number, steady: number): void {
+  function handleJump (jumpMs: number, monotonicMs: number): void {
     if (isUptimeTrusted !== true) {
-      unexplainedJump = { jumpMs, at: steady, aheadPeers: new Set(), unmovedPeers: new Set() }
+      unexplainedJump = { jumpMs, at: monotonicMs, aheadPeers: new Set(), unmovedPeers: new Set() }
       return
     }
-    const offsetMs = clocks.sinceStart() - steady
+    const offsetMs = clocks.sinceStart() - monotonicMs
     const suspendedMs = offsetMs - uptimeOffsetMs
     uptimeOffsetMs = offsetMs
-    if (suspendedMs >= JUMP_MINIMUM_MS) addSuspension(suspendedMs, steady)
+    if (suspendedMs >= JUMP_MINIMUM_MS) addSuspension(suspendedMs, monotonicMs)
   }
 
-  function addSuspension (suspendedMs: number, resumedSteady: number): void {
-    const resumedAt = resumedSteady + lostMs
+  function addSuspension (suspendedMs: number, resumedMonotonicMs: number): void {
+    const resumedAt = resumedMonotonicMs + lostMs
     unexplainedJump = null
     lostMs += suspendedMs
     for (const listener of listeners) listener({ lostMs: suspendedMs, resumedAt })
--- a/packages/gateway/src/_lib/admitCall.ts
+++ b/packages/gateway/src/_lib/admitCall.ts
@@ -1,4 +1,4 @@
-/** Decides whether a call is admitted, from what the gateway currently knows. */
+/** Decides whether a call is admitted, from the predictions and loads that the gateway currently has. */
 import type * as chooseBackEnd from '../chooseBackEnd/index.js'
 import * as decideAdmission from '../decideAdmission/index.js'
 import type * as callOptions from './callOptions.js'
@@ -31,9 +31,9 @@
     random: options.random()
   }
   const admission = decideAdmission.decideAdmission(input)
-  return admission.isAdmitted ? admission : { ...admission, withinMs: input.targetMs - input.elapsedMs, reason: describe(input) }
+  return admission.isAdmitted ? admission : { ...admission, withinMs: input.targetMs - input.elapsedMs, reason: describeRefusal(input) }
 }
 
-function describe ({ firstEventMs, errorMs, targetMs, utilization }: decideAdmission.AdmissionInput): string {
+function describeRefusal ({ firstEventMs, errorMs, targetMs, utilization }: decideAdmission.AdmissionInput): string {
   return `first event in ${Math.round(firstEventMs)} ms, lately up to ${Math.round(errorMs)} ms later, target ${Math.round(targetMs)} ms, ${utilization.toFixed(2)} of all places taken`
 }
--- a/packages/gateway/src/_lib/answers.ts
+++ b/packages/gateway/src/_lib/answers.ts
@@ -8,9 +8,11 @@
   readonly refuse: (status: number, reason: string, retryAfterMs: number | null) => void
   /** Sends a complete response of a back end. If the back end's response had no HTTP framing, neither has this one. */
   readonly sendBuffered: (status: number, headers: readonly string[], body: Buffer, isFramed: boolean) => void
+  /** Sends the head of a stream; `isFramed` says whether HTTP framing marks its end, otherwise the connection is closed at its end. */
   readonly beginStream: (status: number, headers: readonly string[], isFramed: boolean) => void
   /** Sends bytes of a stream; false if the caller reads too slowly. */
   readonly write: (bytes: Buffer) => boolean
+  /** Calls `resume` once when the caller has read what was buffered. */
   readonly onDrain: (resume: () => void) => void
   readonly endStream: () => void
   /** Destroys the connection, so that a truncated response never looks complete. */
@@ -24,7 +26,7 @@
  * @param response - The HTTP response to write to.
  * @param requestId - Request id to include in responses.
  * @param protocol - Formats headers.
- * @param isDraining - Whether callers are asked to close their connections.
+ * @param isDraining - Returns whether callers are asked to close their connections.
  * @returns The reply.
  */
 export function createReply (response: http.ServerResponse, requestId: string, protocol: callOptions.CallProtocol, isDraining: () => boolean): Reply {
--- a/packages/gateway/src/_lib/callOptions.ts
+++ b/packages/gateway/src/_lib/callOptions.ts
@@ -49,6 +49,7 @@
   readonly now: () => number
   /** Schedules an action at a time of the monotonic clock. */
   readonly at: clock.AtTime
+  /** Returns a random number from 0 to 1. */
   readonly random: () => number
 }
 
@@ -57,9 +58,11 @@
   readonly service: types.ServiceName
   readonly model: string | null
   readonly promptTokens: number
+  /** Expected length of the response in tokens; 0 if unknown. */
   readonly answerTokens: number
   /** Milliseconds until the call's deadline. */
   readonly remainingMs: number
+  /** Back ends that are passed over, because the call was already sent to them or they refused it a slot. */
   readonly tried: ReadonlySet<types.NodeId>
   /** Whether a rate-limit permit may be requested. */
   readonly mayAsk: boolean
--- a/packages/gateway/src/_lib/callState.ts
+++ b/packages/gateway/src/_lib/callState.ts
@@ -15,6 +15,7 @@
   readonly service: types.ServiceName
   readonly body: Buffer | null
   readonly deadline: deadlines.Deadline
+  /** Monotonic time in milliseconds at which the gateway received the request. */
   readonly receivedAt: number
 }
 
@@ -38,7 +39,7 @@
   /** Records that the caller disconnected, and aborts the current attempt. */
   readonly noteCallerGone: () => void
   /** Sets the function that aborts the current attempt, in place of that of the attempt before. */
-  readonly setAbortAttempt: (end: () => void) => void
+  readonly setAbortAttempt: (abort: () => void) => void
   /** Whether any part of the response to the current attempt has arrived. */
   hasAttemptResponded: boolean
   /** Aborts the current attempt if nothing of its response has arrived, because the call is now blocked everywhere. */
@@ -92,10 +93,10 @@
       isWithdrawn = true
       abortAttempt()
     },
-    setAbortAttempt: (end) => {
-      abortAttempt = end
+    setAbortAttempt: (abort) => {
+      abortAttempt = abort
       state.hasAttemptResponded = false
-      if (isCallerGone || isExpired) end()
+      if (isCallerGone || isExpired) abort()
     }
   }
   return state
@@ -107,6 +108,7 @@
  *
  * @param call - The call.
  * @param now - Monotonic time in milliseconds.
+ * @returns Milliseconds.
  */
 export function readElapsedMs ({ head, route, receivedAt }: CallDetails, now: number): number {
   const earlierTriesMs = Math.max(0, route.timeoutMs - (head.remainingMs ?? route.timeoutMs))
--- a/packages/gateway/src/_lib/deadline.ts
+++ b/packages/gateway/src/_lib/deadline.ts
@@ -2,7 +2,9 @@
 
 /** A deadline on the monotonic clock. */
 export interface Deadline {
+  /** Monotonic time in milliseconds. */
   readonly at: number
+  /** Milliseconds until the deadline; 0 once it has passed. */
   readonly remainingMs: () => number
 }
 
--- a/packages/gateway/src/_lib/loadSimulation.ts
+++ b/packages/gateway/src/_lib/loadSimulation.ts
@@ -38,6 +38,7 @@
 
 /** Results for callers, in calls per second; all times count from the first try. */
 export interface CallerResult {
+  /** Calls that callers made, whatever became of them. */
   readonly asked: number
   readonly inTime: number
   readonly late: number
@@ -56,6 +57,7 @@
 type Counts = { -readonly [Name in keyof CallerResult]: number }
 
 interface StreamClass {
+  /** Fraction of all calls, from 0 to 1. */
   readonly part: number
   readonly promptTokens: number
   readonly events: number
@@ -68,23 +70,25 @@
   { part: 0.31, promptTokens: 827, events: 20, targetMs: 402 },
   { part: 0.28, promptTokens: 647, events: 14, targetMs: 402 }
 ]
-/** Figures of engines as deployed at present. */
+/** Speeds and slots of engines as in current deployments. */
 export const FIGURES: gateway.EngineFigures = {
   slots: 16, models: [simulatedEngine.MODEL], layers: 1, chunks: 1, chunkBytes: 1, stepMs: 9.27, stepMsPerSequence: 0.0348, prefillTokensPerMs: 20.7, usualPromptTokens: 980, usualAnswerTokens: 92
 }
 /** Milliseconds between two readings of an engine by its agent; the agent publishes the last reading. */
 const AGENT_READ_INTERVAL_MS = 200
-/** Default report intervals within a data hall and to other halls, followed by the network latencies. */
+/** Default report intervals within a data hall and to other halls, followed by the one-way network latencies. */
 const REPORT_INTERVALS_MS = { near: 350, far: 900 }
 const HALL_LATENCY_MS = 3
 const CROSS_HALL_LATENCY_MS = 8
 const CALL_TIMEOUT_MS = 6000
 export const WARM_UP_MS = 4000
+/** Number of engines that one call may be sent to. */
 const ATTEMPTS = 2
 /** Number of tries of a caller that retries. */
 const CALLER_TRIES = 2
 const SEED = 7
 const LIMIT_WINDOW_MS = 4000
+/** Shortest retry time of a caller that can no longer be in time; up to twice as long at random. */
 const LATE_RETRY_MS = 1000
 
 interface Call {
@@ -127,7 +131,7 @@
 
   const slots = new Map(engines.map((engine) => [engine.backEnd.id, createSlotReservations.createSlotReservations(timeline.now)]))
 
-  function scheduleReports (engine: simulatedEngine.SimulatedEngine, zones: (zone: string) => boolean, everyMs: number, latencyMs: number): void {
+  function scheduleReports (engine: simulatedEngine.SimulatedEngine, includesZone: (zone: string) => boolean, everyMs: number, latencyMs: number): void {
     let report = engine.report()
     const readEngine = (): void => {
       report = engine.report()
@@ -138,7 +142,7 @@
     const sendReport = (): void => {
       const madeAt = timeline.now()
       const status = { report, isPaused: false, changesInMs: null }
-      timeline.at(madeAt + latencyMs, () => { for (const { zone, tracker } of gateways) if (zones(zone)) tracker.noteReport(engine.backEnd.id, status, madeAt, 0) })
+      timeline.at(madeAt + latencyMs, () => { for (const { zone, tracker } of gateways) if (includesZone(zone)) tracker.noteReport(engine.backEnd.id, status, madeAt, 0) })
       timeline.at(madeAt + everyMs, sendReport)
     }
     timeline.at(random() * everyMs, sendReport)
@@ -179,7 +183,7 @@
   }
 
   function startCall (): void {
-    const kind = STREAM_CLASSES[pickStreamClass(random())] as StreamClass
+    const kind = STREAM_CLASSES[pickStreamClassIndex(random())] as StreamClass
     const isCounted = timeline.now() >= WARM_UP_MS
     const call: Call = {
       kind,
@@ -286,7 +290,7 @@
   }
   timeline.at(0, scheduleCalls)
   timeline.run(WARM_UP_MS + scenario.seconds * types.MILLISECONDS_IN_SECOND)
-  const kinds = counts.map((each) => perSecond(each, scenario.seconds))
+  const kinds = counts.map((each) => divideBySeconds(each, scenario.seconds))
   return { ...kinds.reduce(addResults, createCounts()), kinds, maximumLimitedRequests: Math.max(0, ...[...limited.values()].map(countMostInWindow)) }
 }
 
@@ -299,7 +303,7 @@
   return { asked: 0, inTime: 0, late: 0, refused: 0, rejected: 0 }
 }
 
-function perSecond (counts: CallerResult, seconds: number): CallerResult {
+function divideBySeconds (counts: CallerResult, seconds: number): CallerResult {
   const { asked, inTime, late, refused, rejected } = counts
   return { asked: asked / seconds, inTime: inTime / seconds, late: late / seconds, refused: refused / seconds, rejected: rejected / seconds }
 }
@@ -314,7 +318,8 @@
   }
 }
 
-function pickStreamClass (random: number): number {
+/** Index of the class that a random number from 0 to 1 selects, by the fractions of the classes. */
+function pickStreamClassIndex (random: number): number {
   let left = random
   const at = STREAM_CLASSES.findIndex(({ part }) => {
     left -= part
--- a/packages/gateway/src/_lib/logCall.ts
+++ b/packages/gateway/src/_lib/logCall.ts
@@ -2,7 +2,10 @@
 import type * as callOptions from './callOptions.js'
 import type * as callState from './callState.js'
 
-/** How a call got its final response. */
+/**
+ * How a call ended. `answered`: with a back end's response, `left`: the caller disconnected first, `refused`: the call was not run, `failed`: it may have run, or its
+ * stream was truncated, `expired`: its deadline passed after it may have run.
+ */
 export type Ending = 'answered' | 'left' | 'refused' | 'failed' | 'expired'
 
 /** The end of a call. */
@@ -12,7 +15,7 @@
   readonly backEnd: string
   /** Version of the weights that served the call; null if none did. */
   readonly version: number | null
-  /** Why the call was not answered. */
+  /** Why the call was not answered, or why its last failed attempt failed. */
   readonly reason: string
   /** Whether the call was refused because calls with its fingerprint crashed back ends. */
   readonly isBlocked: boolean
--- a/packages/gateway/src/_lib/runAttempt.ts
+++ b/packages/gateway/src/_lib/runAttempt.ts
@@ -56,9 +56,9 @@
 const WITHDRAWAL_DELAY_MS = 300
 
 /**
- * Urgency of a call that can no longer be in time, so that engines run the others first. After an outage all refused callers retry at once, and an
- * engine admits more urgent calls first; a call without an urgency counts as 5. A stream that has begun keeps its urgency, because its caller is waiting
- * for the next event.
+ * Urgency of a call that can no longer be in time, so that engines run the others first; a higher number is less urgent, and a call without an urgency counts as
+ * 5. After an outage all refused callers retry at once, and an engine admits more urgent calls first. A stream that has begun keeps its urgency, because its caller
+ * is waiting for the next event.
  */
 const LATE_URGENCY = 8
 
@@ -227,31 +227,32 @@
 }
 
 interface EventTimer {
-  readonly restart: (milliseconds: number) => void
+  /** Sets the timeout for the next event; has no effect on a timer that was created without a timeout. */
+  readonly restart: (timeoutMs: number) => void
   readonly stop: () => void
   readonly hasExpired: () => boolean
 }
 
-/** Aborts an attempt that sends no event within a timeout; without a timeout the attempt waits for the deadline. */
-function createEventTimer (milliseconds: number | null, end: () => void): EventTimer {
+/** Aborts an attempt whose response brings no event within a timeout; without a timeout for the first event the attempt waits for the deadline. */
+function createEventTimer (firstTimeoutMs: number | null, abort: () => void): EventTimer {
   let hasExpired = false
   let timer: NodeJS.Timeout | null = null
 
-  function start (limit: number): void {
+  function start (timeoutMs: number): void {
     timer = setTimeout(() => {
       hasExpired = true
-      end()
-    }, limit)
+      abort()
+    }, timeoutMs)
   }
 
-  if (milliseconds !== null) start(milliseconds)
+  if (firstTimeoutMs !== null) start(firstTimeoutMs)
   return {
     hasExpired: () => hasExpired,
     stop: () => { if (timer !== null) clearTimeout(timer) },
-    restart: (limit) => {
-      if (milliseconds === null) return
+    restart: (timeoutMs) => {
+      if (firstTimeoutMs === null) return
       if (timer !== null) clearTimeout(timer)
-      start(limit)
+      start(timeoutMs)
     }
   }
 }
--- a/packages/gateway/src/_lib/runAttempts.ts
+++ b/packages/gateway/src/_lib/runAttempts.ts
@@ -12,12 +12,14 @@
 import * as runAttempt from './runAttempt.js'
 import type * as callOptions from './callOptions.js'
 
+/** Retry time of a refused call, unless the reason for the refusal gives another one. */
 const DEFAULT_RETRY_AFTER_MS = 400
 /**
  * Retry time while no back end may serve at all: a caller that retried sooner would be refused again. Callers must not be told when engines will serve
  * again, because they would all retry at that moment.
  */
 const NO_BACK_END_RETRY_AFTER_MS = 1000
+/** The retry time is then at most this fraction of the time left until the deadline. */
 const NO_BACK_END_REMAINING_FRACTION = 0.3
 const BLOCKED_REASON = 'blocked: back ends ended under this call'
 /** Number of connections that may fail before the call is given up. */
@@ -26,6 +28,7 @@
 const MAXIMUM_PERMITS_REFUSED = 2
 /** Random extension of the retry time, so that callers that wait for permits of one back end do not retry simultaneously. */
 const PERMIT_RETRY_JITTER_FRACTION = 0.5
+/** Shortest retry time for a permit. */
 const PERMIT_RETRY_MINIMUM_MS = 60
 
 type Options = callOptions.CallHandlerOptions
@@ -174,6 +177,7 @@
     return outcome
   }
 
+  /** Ends a call that no attempt has served: with the last error response of a back end if there is one, or else with one of the gateway itself. */
   function endUnserved (): logCall.Ending {
     if (reply.hasStarted()) {
       reply.abort()
--- a/packages/gateway/src/_lib/simulatedEngine.ts
+++ b/packages/gateway/src/_lib/simulatedEngine.ts
@@ -10,6 +10,7 @@
 /** A call at an engine. */
 export interface EngineCall {
   readonly isUrgent: boolean
+  /** Tokens of the prompt that the engine has not read yet. */
   unreadTokens: number
   eventsLeft: number
   readonly onFirstEvent: () => void
@@ -24,6 +25,7 @@
   readonly report: () => gateway.EngineReport
 }
 
+/** Calls that may be queued beyond the slots; further ones are rejected. */
 const QUEUE_LIMIT = 16
 /** Steps per pass, and the largest number of prompt tokens read in each step. */
 export const STEPS_PER_PASS = 5
--- a/packages/gateway/src/chooseBackEnd/index.ts
+++ b/packages/gateway/src/chooseBackEnd/index.ts
@@ -37,9 +37,11 @@
 /** The chosen back end, with the figures behind the choice. */
 export interface Choice {
   readonly backEnd: gateway.BackEnd
+  /** Predicted milliseconds until the first event, including the delay of the link. */
   readonly firstEventMs: number
   /** Predicted time to the first event with half of the prompt's excess over the usual length discounted; admission uses it. */
   readonly discountedFirstEventMs: number
+  /** Requests that would be queued there before this one. */
   readonly queuedAhead: number
   /** Whether the back end advertises a rate limit, so that a permit must be requested. */
   readonly isRateLimited: boolean
@@ -80,6 +82,7 @@
 }
 
 interface ScoredChoice extends Choice {
+  /** Predicted milliseconds until the first event plus penalties; the lowest score is chosen. */
   readonly score: number
   /** Requests running or queued there. */
   readonly taken: number
@@ -91,14 +94,16 @@
 const ASSUMED_PLAIN_REQUEST_MS = 30
 /** Steps per generated token on average, because the engine also reads other prompts meanwhile. */
 const STEPS_PER_TOKEN = 1.6
+/** Penalties in milliseconds for a back end that is avoided after failures, and for one whose report is overdue. */
 const AVOIDED_PENALTY_MS = 2000
 const OVERDUE_REPORT_PENALTY_MS = 600
 /** The connection, the request and its first event each cross the link to the back end. */
 const LINK_CROSSINGS = 2
 /** A link with this much delay is saturated; its delay can no longer be predicted. */
 const SATURATED_LINK_DELAY_MS = 120
-/** A call may begin this many times later than predicted. */
+/** A call is assumed to begin at most this many times later than predicted. */
 const BEGIN_DELAY_FACTOR = 2
+/** Penalty in milliseconds for a back end whose agent asked for no new calls. */
 const PAUSED_PENALTY_MS = 1500
 /**
  * A call begins at once at a healthy, idle engine, so it may be sent there later than to other engines; if it has not begun, there is still time to
@@ -112,7 +117,7 @@
 const RESUMED_VERSION_CHANGE_DELAY_WEIGHT = 1
 /** Random addition to the score in milliseconds, so that gateways do not all choose the same engine. */
 const JITTER_MS = 20
-/** A rate-limited back end counts as having as many slots as its rate admits requests in this time. */
+/** A rate-limited back end counts as having as many slots as its rate admits requests in this time, about the duration of one request. */
 const LIMITED_REQUEST_SECONDS = 1
 
 /**
--- a/packages/gateway/src/chooseBackEnd/limited.test.ts
+++ b/packages/gateway/src/chooseBackEnd/limited.test.ts
@@ -13,9 +13,9 @@
   return { id: types.brandId(id), bornAt: null, service: types.brandId('api'), address: { host: '127.0.0.1', port: 1 }, zone: 'a', slots: SLOTS, isDraining: false, models: new Map() }
 }
 
-function choose (rooms: Readonly<Record<string, limiters.RateAllowance | null>>, change: Partial<chooseBackEnd.ChoiceInput> = {}): chooseBackEnd.ChoiceOutcome {
+function choose (allowances: Readonly<Record<string, limiters.RateAllowance | null>>, change: Partial<chooseBackEnd.ChoiceInput> = {}): chooseBackEnd.ChoiceOutcome {
   return chooseBackEnd.chooseBackEnd({
-    backEnds: Object.keys(rooms).map(createPlain),
+    backEnds: Object.keys(allowances).map(createPlain),
     book: createBackEndBook.createBackEndBook(() => NOW),
     figures: null,
     zone: 'a',
@@ -25,7 +25,7 @@
     answerTokens: 0,
     lastSendTo: () => Infinity,
     endsAt: NOW + 6000,
-    readRoom: ({ id }) => rooms[id] ?? null,
+    readRoom: ({ id }) => allowances[id] ?? null,
     mayAsk: true,
     pinnedVersion: null,
     tried: new Set(),
--- a/packages/gateway/src/createBackEndBook/index.ts
+++ b/packages/gateway/src/createBackEndBook/index.ts
@@ -6,6 +6,7 @@
 export interface OpenAttempt {
   readonly promptTokens: number
   readonly answerTokens: number
+  /** Monotonic time in milliseconds. */
   readonly sentAt: number
   /** Whether the first event, or a response that is not a stream, has arrived. */
   hasResponded: boolean
@@ -30,6 +31,7 @@
   readonly open: ReadonlySet<OpenAttempt>
   /** Number of attempts sent since the report was made; all open attempts if there is no usable report. */
   readonly sentSinceReport: number
+  /** Prompt tokens of those attempts that have not responded yet. */
   readonly promptTokensSinceReport: number
   /** Whether its agent asked for no new calls, for example before it switches the version of the weights. */
   readonly isPaused: boolean
@@ -55,6 +57,7 @@
    * than usual it was in transit.
    */
   readonly noteReport: (id: types.NodeId, status: AgentStatus, madeAt: number, delayMs: number) => void
+  /** Records how many milliseconds a connection to it took. */
   readonly noteConnect: (id: types.NodeId, tookMs: number) => void
   readonly noteSuccess: (id: types.NodeId) => void
   /** Records a failure. The back end is avoided for a time that doubles with each failure, unless its agent has paused new calls. */
@@ -73,9 +76,10 @@
 export type ListedBackEnd = Pick<gateway.BackEnd, 'id' | 'bornAt'>
 
 interface BackEndState {
-  /** When the instance that this state describes started; null while unknown. */
+  /** When the instance that this state describes started, in Unix milliseconds of its own clock; null while unknown. */
   bornAt: number | null
   report: gateway.EngineReport | null
+  /** Monotonic time in milliseconds at which the report was made. */
   reportAt: number
   /** Moving average of the age in milliseconds that a report reaches before the next one arrives. */
   typicalReportAgeMs: number
@@ -85,14 +89,15 @@
   failures: number
   avoidedUntil: number
   isGone: boolean
-  /** When its process was found to have ended. */
+  /** Monotonic time in milliseconds at which its process was found to have ended. */
   processEndedAt: number
+  /** Moving average of the time that connections took, and the monotonic time of the last one, in milliseconds. */
   connectMs: number
   connectedAt: number
   linkDelayMs: number
 }
 
-/** A report older than this is not used if its agent usually reports more often. */
+/** A report older than this is not used, unless the reports of its agent usually get older before the next one arrives. */
 const REPORT_VALID_MS = 1500
 /** An agent that has not reported for this long may be disconnected, and its engine with it. */
 const REPORT_OVERDUE_MS = 1100
@@ -108,6 +113,7 @@
 /** Weight of the newest connection in the average, and how long the average is used after it. */
 const CONNECT_WEIGHT = 0.5
 const CONNECT_VALID_MS = 1500
+/** How long a back end is avoided after its first failure in a row, at most after many, and after a rejection because it was full. */
 const AVOID_BASE_MS = 300
 const AVOID_MAXIMUM_MS = 3000
 const AVOID_FULL_MS = 60
--- a/packages/gateway/src/createCallerServer/index.ts
+++ b/packages/gateway/src/createCallerServer/index.ts
@@ -13,11 +13,13 @@
   readonly stopAccepting: () => void
   /** Closes connections without a request in progress. */
   readonly closeIdle: () => void
+  /** Stops accepting connections and destroys all open ones. */
   readonly close: () => void
 }
 
 /** Idle connections stay open this much longer than the limit given to callers. */
 const IDLE_MARGIN_MS = 1000
+/** Interval at which Node.js looks for connections whose request head is overdue. */
 const CHECK_INTERVAL_MS = 500
 const LISTEN_BACKLOG = 1024
 
@@ -27,6 +29,7 @@
  * @param handler - Handles requests.
  * @param address - Address to listen on.
  * @returns The listening server.
+ * @throws The error of the operating system if the address cannot be listened on.
  */
 export async function createCallerServer (handler: createCallHandler.CallHandler, address: types.Address): Promise<CallerServer> {
   const server = http.createServer({ maxHeaderSize: gateway.DEFAULT_CALLER_LIMITS.maximumHeaderBytes, noDelay: true, connectionsCheckingInterval: CHECK_INTERVAL_MS }, handler.handle)
--- a/packages/gateway/src/createCallerServer/test.ts
+++ b/packages/gateway/src/createCallerServer/test.ts
@@ -6,7 +6,7 @@
 const ADDRESS = { host: '127.0.0.31', port: 18_431 }
 
 /** Sends a request and returns the response body; null if the connection fails. */
-async function ask (): Promise<string | null> {
+async function sendRequest (): Promise<string | null> {
   return await new Promise((resolve) => {
     http.get({ ...ADDRESS, agent: false }, (response) => {
       let body = ''
@@ -27,10 +27,10 @@
   }
   const server = await createCallerServer.createCallerServer({ handle, inProgress: () => 0, leave: () => {}, endAll: () => {} }, ADDRESS)
   context.after(server.close)
-  const answer = ask()
+  const answer = sendRequest()
   await hasBegun
   server.stopAccepting()
-  assert.equal(await ask(), null)
+  assert.equal(await sendRequest(), null)
   end()
   assert.equal(await answer, 'first last')
 })
--- a/packages/gateway/src/createErrorBound/index.ts
+++ b/packages/gateway/src/createErrorBound/index.ts
@@ -47,9 +47,9 @@
     read,
     note: (predictedMs, firstEventMs) => {
       const before = read()
-      const isLater = firstEventMs - predictedMs > before
+      const exceedsBound = firstEventMs - predictedMs > before
       const stepMs = STEP_MS * Math.min(STEP_FACTOR_MAXIMUM, Math.max(1, (now() - lastCallAt) / TYPICAL_CALL_GAP_MS))
-      boundMs = Math.min(MAXIMUM_MS, Math.max(0, before + stepMs * (isLater ? 1 - EXCEEDING_FRACTION : -EXCEEDING_FRACTION)))
+      boundMs = Math.min(MAXIMUM_MS, Math.max(0, before + stepMs * (exceedsBound ? 1 - EXCEEDING_FRACTION : -EXCEEDING_FRACTION)))
       lastCallAt = now()
     }
   }
--- a/packages/gateway/src/createEventSplitter/index.ts
+++ b/packages/gateway/src/createEventSplitter/index.ts
@@ -19,14 +19,14 @@
 /**
  * Creates a splitter.
  *
- * @param firstEventId - Id of the last event that the caller already has, or null.
+ * @param lastSeenEventId - Id of the last event that the caller already has, or null.
  * @returns The splitter.
  * @example
  * splitter.push(Buffer.from('id: 1\ndata: a\n\nid: 2')) // the bytes of event 1
  */
-export function createEventSplitter (firstEventId: string | null): EventSplitter {
+export function createEventSplitter (lastSeenEventId: string | null): EventSplitter {
   let partial: Buffer = EMPTY
-  let lastId = firstEventId
+  let lastId = lastSeenEventId
 
   function push (bytes: Buffer): Buffer | null {
     const all = partial.length === 0 ? bytes : Buffer.concat([partial, bytes])
--- a/packages/gateway/src/createReservationClient/index.ts
+++ b/packages/gateway/src/createReservationClient/index.ts
@@ -26,8 +26,9 @@
   readonly finish: (isReserved: boolean) => void
 }
 
-/** Time to wait for a reply: a caller that is refused later than this had better been refused at once. A slot reserved too late simply expires. */
+/** Time to wait for a reply: a caller that would be refused later than this had better be refused at once. A slot reserved too late simply expires. */
 const REPLY_TIMEOUT_MS = 40
+/** Requests are numbered from a random number below this, so that replies to an earlier process of the gateway match no request. */
 const REQUEST_NUMBER_RANGE = 2 ** 31
 
 /**
--- a/packages/gateway/src/createReservationClient/test.ts
+++ b/packages/gateway/src/createReservationClient/test.ts
@@ -12,14 +12,14 @@
 const BACK_END: gateway.BackEnd = { id: types.brandId('engine-1'), bornAt: null, service: types.brandId('llm'), address: { host: AGENT, port: 9000 }, zone: 'a', slots: 4, isDraining: false, models: new Map() }
 const REQUEST = { promptTokens: 700, withinMs: 300 }
 
-interface Opened {
+interface ConnectedClient {
   readonly client: createReservationClient.ReservationClient
   readonly asked: unknown[]
   readonly counts: string[]
 }
 
 /** Connects a client and the server of an agent with some slots; datagrams for which `isLost` holds are dropped. */
-function open (slots: number, isLost: (bytes: Buffer) => boolean = () => false): Opened {
+function connectClient (slots: number, isLost: (bytes: Buffer) => boolean = () => false): ConnectedClient {
   const asked: unknown[] = []
   const counts: string[] = []
   const count = (name: string, labels?: Readonly<Record<string, string>>): void => { counts.push(`${name} ${labels?.['answer'] ?? labels?.['reason'] ?? ''}`.trim()) }
@@ -45,7 +45,7 @@
 }
 
 nodeTest.test('an agent replies whether it reserved the requested slot', async () => {
-  const { client, asked, counts } = open(1)
+  const { client, asked, counts } = connectClient(1)
   assert.equal(await client.reserve(BACK_END, REQUEST), true)
   assert.equal(await client.reserve(BACK_END, REQUEST), false)
   assert.deepEqual(asked.map((request) => ({ ...(request as typeof REQUEST) })).map(({ promptTokens, withinMs }) => ({ promptTokens, withinMs })), [REQUEST, REQUEST])
@@ -55,7 +55,7 @@
 nodeTest.test('a request without a reply fails soon, and a later reply has no effect', async (context) => {
   context.mock.timers.enable({ apis: ['setTimeout', 'Date'] })
   let late: Buffer = Buffer.alloc(0)
-  const { client, counts } = open(1, (bytes) => {
+  const { client, counts } = connectClient(1, (bytes) => {
     if (!reservationWire.isReply(bytes)) return false
     late = bytes
     return true
@@ -70,7 +70,7 @@
 
 nodeTest.test('a reply from another host is ignored, and invalid datagrams are counted', async (context) => {
   context.mock.timers.enable({ apis: ['setTimeout', 'Date'] })
-  const { client, counts } = open(1, () => true)
+  const { client, counts } = connectClient(1, () => true)
   const reserved = client.reserve(BACK_END, REQUEST)
   assert.equal(client.receive(reservationWire.formatReply({ number: 2 ** 30 + 1, isReserved: true }), '10.0.9.9'), true)
   assert.equal(client.receive(Buffer.from('["t",broken'), AGENT), true)
--- a/packages/gateway/src/createRetryBudget/index.ts
+++ b/packages/gateway/src/createRetryBudget/index.ts
@@ -6,13 +6,15 @@
   readonly ratio: number
   /** Retries allowed per window beyond that fraction. */
   readonly slack: number
+  /** Length in milliseconds of the sliding window over which calls and retries are counted. */
   readonly windowMs: number
 }
 
 /** One gateway's share of a service's retry budget. */
 export interface RetryBudget {
+  /** Records a call, which raises the budget for one window. */
   readonly noteCall: () => void
-  /** Spends one retry if the window has room for it. */
+  /** Spends one retry if the window has room for it; returns whether it had. */
   readonly trySpend: () => boolean
 }
 
--- a/packages/gateway/src/createSlotReservations/index.ts
+++ b/packages/gateway/src/createSlotReservations/index.ts
@@ -20,6 +20,7 @@
 
 interface Reservation {
   readonly promptTokens: number
+  /** Monotonic time in milliseconds. */
   readonly at: number
 }
 
--- a/packages/gateway/src/createSlotReservations/test.ts
+++ b/packages/gateway/src/createSlotReservations/test.ts
@@ -12,43 +12,44 @@
   return { bornAt: null, running, waiting, isBusy: false, sequence: 0, pace: 1, limitPerSecond: null, models: new Map([['m', 1]]) }
 }
 
-function open (report: gateway.EngineReport | null): { time: number, readonly slots: createSlotReservations.SlotReservations, readonly reserve: (change?: Partial<createSlotReservations.SlotRequest>) => boolean } {
-  const opened = { time: 0 }
-  const slots = createSlotReservations.createSlotReservations(() => opened.time)
+/** Creates the reservations of an engine with the given report, at time 0. */
+function createReservations (report: gateway.EngineReport | null): { time: number, readonly slots: createSlotReservations.SlotReservations, readonly reserve: (change?: Partial<createSlotReservations.SlotRequest>) => boolean } {
+  const engine = { time: 0 }
+  const slots = createSlotReservations.createSlotReservations(() => engine.time)
   slots.noteReport(report)
-  return Object.assign(opened, { slots, reserve: (change = {}) => slots.reserve({ ...REQUEST, ...change }, FIGURES) })
+  return Object.assign(engine, { slots, reserve: (change = {}) => slots.reserve({ ...REQUEST, ...change }, FIGURES) })
 }
 
 nodeTest.test('a slot is reserved once, and free again if a later report does not include its call', () => {
-  const opened = open(createReport(3))
-  assert.equal(opened.reserve(), true)
-  assert.equal(opened.reserve(), false)
-  opened.time = 200
-  opened.slots.noteReport(createReport(3))
-  assert.equal(opened.reserve(), true)
+  const engine = createReservations(createReport(3))
+  assert.equal(engine.reserve(), true)
+  assert.equal(engine.reserve(), false)
+  engine.time = 200
+  engine.slots.noteReport(createReport(3))
+  assert.equal(engine.reserve(), true)
 })
 
 nodeTest.test('a reserved call that may not have reached the engine yet is added to the report', () => {
-  const opened = open(createReport(3))
-  opened.time = 190
-  assert.equal(opened.reserve(), true)
-  opened.time = 200
-  opened.slots.noteReport(createReport(3))
-  assert.equal(opened.reserve(), false)
+  const engine = createReservations(createReport(3))
+  engine.time = 190
+  assert.equal(engine.reserve(), true)
+  engine.time = 200
+  engine.slots.noteReport(createReport(3))
+  assert.equal(engine.reserve(), false)
 })
 
 nodeTest.test('no slot is reserved for a call that would be late because of its own prompt or earlier ones', () => {
-  assert.equal(open(createReport(0)).reserve({ promptTokens: 4000 }), false)
-  assert.equal(open(createReport(0)).reserve({ withinMs: 150 }), false)
-  const opened = open(createReport(0))
-  assert.deepEqual([opened.reserve({ promptTokens: 1500 }), opened.reserve({ promptTokens: 1500 })], [true, false])
-  assert.equal(open(createReport(1, 3)).reserve(), false)
+  assert.equal(createReservations(createReport(0)).reserve({ promptTokens: 4000 }), false)
+  assert.equal(createReservations(createReport(0)).reserve({ withinMs: 150 }), false)
+  const engine = createReservations(createReport(0))
+  assert.deepEqual([engine.reserve({ promptTokens: 1500 }), engine.reserve({ promptTokens: 1500 })], [true, false])
+  assert.equal(createReservations(createReport(1, 3)).reserve(), false)
 })
 
 nodeTest.test('no slot is reserved without a recent report of an engine that holds weights', () => {
-  assert.equal(open(null).reserve(), false)
-  assert.equal(open({ ...createReport(0), models: new Map() }).reserve(), false)
-  const opened = open(createReport(0))
-  opened.time = 1000
-  assert.equal(opened.reserve(), false)
+  assert.equal(createReservations(null).reserve(), false)
+  assert.equal(createReservations({ ...createReport(0), models: new Map() }).reserve(), false)
+  const engine = createReservations(createReport(0))
+  engine.time = 1000
+  assert.equal(engine.reserve(), false)
 })
--- a/packages/gateway/src/decideAdmission/index.ts
+++ b/packages/gateway/src/decideAdmission/index.ts
@@ -23,6 +23,7 @@
 /** Admitted, or refused with a time to retry. */
 export type Admission =
   | { readonly isAdmitted: true }
+  /** `retryAfterMs`: milliseconds after which the caller may retry. */
   | { readonly isAdmitted: false, readonly retryAfterMs: number }
 
 /**
--- a/packages/gateway/src/predictFirstEvent/index.ts
+++ b/packages/gateway/src/predictFirstEvent/index.ts
@@ -12,6 +12,7 @@
   readonly queuedAhead: number
 }
 
+/** Tokens that an engine generates for each event of a stream. */
 const TOKENS_PER_EVENT = 5
 /** Assumed number of calls of each other gateway since the report, as a fraction of this gateway's calls: the gateways choose by the same rules, but not identically. */
 const OTHER_GATEWAYS_FRACTION = 0.4
--- a/packages/gateway/src/probeAddress/index.ts
+++ b/packages/gateway/src/probeAddress/index.ts
@@ -8,7 +8,7 @@
  *
  * @param address - The address to probe.
  * @param timeoutMs - Milliseconds after which the probe counts as unanswered.
- * @returns The result of the probe; never rejects.
+ * @returns `taken` if a process listens there, `refused` if none does, `silent` if nothing can be concluded; never rejects.
  */
 export async function probeAddress ({ host, port }: types.Address, timeoutMs: number): Promise<quarantine.ProbeResult> {
   return await new Promise((resolve) => {
--- a/packages/gateway/src/sendAttempt/index.ts
+++ b/packages/gateway/src/sendAttempt/index.ts
@@ -23,10 +23,12 @@
   | { readonly kind: 'not-sent', readonly reason: string }
   /** Sent, but no response arrived; the call may have run. `isClosedByPeer` is false if the bytes received were not an HTTP response. */
   | { readonly kind: 'no-answer', readonly reason: string, readonly isClosedByPeer: boolean }
+  /** The head of the response has arrived. `isWhole`: whether the response was received completely; call it after the response has ended. */
   | { readonly kind: 'answer', readonly response: http.IncomingMessage, readonly isFramed: boolean, readonly isWhole: () => boolean }
 
 /** An attempt in progress. */
 export interface Attempt {
+  /** Resolves with the head of the response, or with the reason why there is none; never rejects. */
   readonly start: Promise<AttemptStart>
   /** Closes the connection at once, which stops the back end's work on the call. */
   readonly abort: () => void
--- a/packages/gateway/src/sendAttempt/test.ts
+++ b/packages/gateway/src/sendAttempt/test.ts
@@ -22,7 +22,8 @@
   return { host: HOST, port: (server.address() as net.AddressInfo).port }
 }
 
-async function isWholeOnce (address: types.Address): Promise<boolean> {
+/** Whether the response to one attempt counts as complete. */
+async function isResponseWhole (address: types.Address): Promise<boolean> {
   const attempt = sendAttempt.sendAttempt({ address, method: 'GET', path: '/', headers: ['Host', 'app.example'], body: null, connectTimeoutMs: 5000, onConnect: () => {} })
   const start = await attempt.start
   if (start.kind !== 'answer') return false
@@ -39,7 +40,7 @@
   await Promise.all(Array.from({ length: PARALLEL }, async () => {
     while (left > 0) {
       left -= 1
-      if (await isWholeOnce(address)) whole += 1
+      if (await isResponseWhole(address)) whole += 1
     }
   }))
   return whole
--- a/packages/gateway/src/types/index.ts
+++ b/packages/gateway/src/types/index.ts
@@ -53,6 +53,7 @@
 
 /** Speed and capacity of a service's engines. A speed that the platform does not provide is null and is left out of predictions. */
 export interface EngineFigures {
+  /** Number of requests that an engine processes concurrently. */
   readonly slots: number
   readonly models: readonly string[]
   readonly layers: number
@@ -62,6 +63,7 @@
   readonly stepMs: number | null
   /** Milliseconds that each running request adds to a step. */
   readonly stepMsPerSequence: number | null
+  /** Prompt tokens that an engine reads per millisecond. */
   readonly prefillTokensPerMs: number | null
   /** Mean prompt length and mean response length in tokens. */
   readonly usualPromptTokens: number | null
@@ -105,6 +107,7 @@
 export interface EngineReport {
   /** Start time of this instance, in Unix milliseconds of its own clock; null if unknown. */
   readonly bornAt: number | null
+  /** Requests that are being processed, and those that are queued. */
   readonly running: number
   readonly waiting: number
   /** Whether an order, such as a switch of versions, is in progress. */
@@ -127,8 +130,10 @@
   readonly method: string
   /** Milliseconds that the caller is willing to wait; null if not given. */
   readonly remainingMs: number | null
+  /** API key; null if the caller sent none. */
   readonly key: string | null
   readonly model: string | null
+  /** Length of the prompt, and expected length of the response, in tokens; 0 if unknown. */
   readonly promptTokens: number
   readonly answerTokens: number
   /** Id of the last event that the caller received, if it resumes a stream. */
@@ -142,6 +147,7 @@
   readonly backEnd: types.NodeId
   readonly remainingMs: number
   readonly tenant: types.AccountId | null
+  /** Urgency for the engine, a higher number being less urgent; null for the engine's default. */
   readonly urgency: number | null
   /** Version of the weights that must serve the call; null for any. */
   readonly version: number | null
@@ -151,6 +157,7 @@
 
 /** Meaning of the head of a back end's response. */
 export type AnswerHead =
+  /** `version`: version of the weights that served the call; null if the response names none. */
   | { readonly kind: 'answered', readonly status: number, readonly headers: readonly string[], readonly isStream: boolean, readonly version: number | null }
   /** The back end did not run the call. */
   | { readonly kind: 'not-run', readonly reason: 'full' | 'wrong-instance' | 'other', readonly status: number }
--- a/packages/routing/src/createAccountLimiter/index.ts
+++ b/packages/routing/src/createAccountLimiter/index.ts
@@ -3,11 +3,11 @@
 
 /** Rate limits of all accounts at one entry node. */
 export interface AccountLimiter {
-  /** Takes one call from the account's rate; returns the milliseconds to wait, or 0 when the call may proceed. */
+  /** Takes one call from the account's rate; returns the milliseconds to wait, or 0 when the call may proceed. A rate of 0 means no limit. */
   readonly take: (account: types.AccountId, callsPerSecond: number) => number
-  /** Sets the fraction of the account's rate that this entry node admits, from 0 to 1. */
+  /** Sets the fraction of the account's rate that this entry node admits, from 0 to 1; has no effect for an account without calls so far. */
   readonly setTrafficFraction: (account: types.AccountId, fraction: number) => void
-  /** Returns the calls counted for each account since the last reading, refused ones included. */
+  /** Returns the calls of each rate-limited account since the last reading, refused ones included. */
   readonly readUsage: () => ReadonlyMap<types.AccountId, number>
 }
 
@@ -18,8 +18,11 @@
   used: number
 }
 
+/** A burst may use the calls of this time at once, and at least one call. */
 const BURST_SECONDS = 1
+/** Smallest fraction that is set, so that an entry node without recent calls still admits some. */
 const MINIMUM_TRAFFIC_FRACTION = 0.05
+/** Number of accounts whose buckets are kept; a further account gets a new bucket for each call. */
 const MAXIMUM_ACCOUNTS = 10_000
 
 /**
--- a/packages/routing/src/createAdmission/index.ts
+++ b/packages/routing/src/createAdmission/index.ts
@@ -2,7 +2,7 @@
 import * as types from '@switchridge/types'
 import * as createFairQueue from '../createFairQueue/index.js'
 
-/** Why a call got no slot. Such a call has not run. */
+/** Why a call got no slot; `leaving`: the server has stopped accepting calls. Such a call has not run. */
 export type RefusalReason = 'full' | 'leaving' | 'deadline' | 'cancelled'
 
 /** The call was refused and did not run. */
@@ -27,6 +27,7 @@
 export interface Load {
   readonly running: number
   readonly waiting: number
+  /** Calls that may run at a time. */
   readonly limit: number
   /** Calls that may wait at a time. */
   readonly queue: number
@@ -37,6 +38,7 @@
   /** Counts the call synchronously: when this returns, the call runs, waits or is refused. */
   readonly enter: (call: createFairQueue.QueuedCall) => Admitted
   readonly load: () => Load
+  /** Sets how many calls may run and how many may wait at a time, and admits waiting calls for which there is a slot now. */
   readonly setLimits: (limit: number, queue: number) => void
   /** Refuses all waiting and all future calls; running calls may finish. */
   readonly leave: () => void
--- a/packages/routing/src/createBackendHealth/index.ts
+++ b/packages/routing/src/createBackendHealth/index.ts
@@ -9,12 +9,15 @@
   readonly isUsable: (node: types.NodeId) => boolean
   /** Records that a call is sent to the server; restarts the backoff of an avoided server, so that only one call at a time probes it. */
   readonly noteAttempt: (node: types.NodeId) => void
+  /** Removes the entry of a server. */
   readonly forget: (node: types.NodeId) => void
+  /** Number of servers that have an entry. */
   readonly size: () => number
 }
 
 interface Entry {
   failures: number
+  /** Monotonic time in milliseconds. */
   backoffUntil: number
 }
 
@@ -31,7 +34,7 @@
 export function createBackendHealth (now: () => number): BackendHealth {
   const entries = new Map<types.NodeId, Entry>()
 
-  function computeBackoff (failures: number): number {
+  function computeBackoffMs (failures: number): number {
     return Math.min(BACKOFF_MAXIMUM_MS, BACKOFF_BASE_MS * 2 ** Math.max(0, failures - FAILURES_BEFORE_BACKOFF))
   }
 
@@ -40,13 +43,13 @@
     noteFailure: (node) => {
       const entry = entries.get(node) ?? { failures: 0, backoffUntil: 0 }
       entry.failures += 1
-      if (entry.failures >= FAILURES_BEFORE_BACKOFF) entry.backoffUntil = now() + computeBackoff(entry.failures)
+      if (entry.failures >= FAILURES_BEFORE_BACKOFF) entry.backoffUntil = now() + computeBackoffMs(entry.failures)
       entries.set(node, entry)
     },
     isUsable: (node) => now() >= (entries.get(node)?.backoffUntil ?? 0),
     noteAttempt: (node) => {
       const entry = entries.get(node)
-      if (entry !== undefined && entry.failures >= FAILURES_BEFORE_BACKOFF) entry.backoffUntil = now() + computeBackoff(entry.failures)
+      if (entry !== undefined && entry.failures >= FAILURES_BEFORE_BACKOFF) entry.backoffUntil = now() + computeBackoffMs(entry.failures)
     },
     forget: (node) => { entries.delete(node) },
     size: () => entries.size
--- a/packages/routing/src/createBackendLoads/index.ts
+++ b/packages/routing/src/createBackendLoads/index.ts
@@ -25,10 +25,11 @@
 /** The loads of all backend servers. */
 export interface BackendLoads {
   readonly noteSent: (node: types.NodeId) => void
-  /** Records the end of an attempt, with the load reported in its answer, if any. */
+  /** Records the end of an attempt, with the load reported in its answer; without one, the last reported load is reduced by this call. */
   readonly noteEnded: (node: types.NodeId, reported?: StatedLoad) => void
   readonly noteStated: (node: types.NodeId, reported: StatedLoad) => void
   readonly readCandidate: (node: types.NodeId, limit: number, queue: number) => Candidate
+  /** Number of attempts of this entry node that the server has not ended yet. */
   readonly outstanding: (node: types.NodeId) => number
   readonly forget: (node: types.NodeId) => void
 }
--- a/packages/routing/src/createRetryBudget/index.ts
+++ b/packages/routing/src/createRetryBudget/index.ts
@@ -13,10 +13,10 @@
 const RESERVE_ATTEMPTS = 5
 
 /**
- * Creates a retry budget.
+ * Creates a retry budget. It starts with the reserve, or with a part of it for a ratio below 0.1, and grows to at most the reserve plus what 100 calls add.
  *
  * @param ratio - Extra attempts as a fraction of calls; 0.1 allows one for every ten calls.
- * @returns The budget, which starts with a small reserve.
+ * @returns The budget.
  */
 export function createRetryBudget (ratio: number): RetryBudget {
   let balance = RESERVE_ATTEMPTS * Math.min(1, ratio * 10)
--- a/packages/routing/src/createTickets/index.ts
+++ b/packages/routing/src/createTickets/index.ts
@@ -13,6 +13,7 @@
   readonly open: (ticket: types.TicketId) => boolean
   /** Records that the attempt ended without being passed to the back end. */
   readonly refuse: (ticket: types.TicketId) => void
+  /** Records that an attempt that was passed to the back end has ended. */
   readonly finish: (ticket: types.TicketId) => void
   /** Returns the state of a ticket. An unknown ticket is closed as `not-run`, so that its attempt is refused if it arrives later. */
   readonly resolve: (ticket: types.TicketId) => TicketState
@@ -21,9 +22,9 @@
 
 /** Options of {@link createTickets}. */
 export interface TicketOptions {
-  /** Milliseconds for which an ended ticket is kept; must be longer than any attempt can be in transit. */
+  /** Milliseconds for which an ended ticket is kept; must be longer than any attempt can be in transit; 600 000 if absent. */
   readonly retentionMs?: number
-  /** Maximum number of ended tickets that are kept. */
+  /** Maximum number of ended tickets that are kept, the least recently used being evicted first; 200 000 if absent. */
   readonly maximumEnded?: number
 }
 
--- a/packages/routing/src/pickBackend/index.ts
+++ b/packages/routing/src/pickBackend/index.ts
@@ -4,7 +4,10 @@
 
 type Candidate = createBackendLoads.Candidate
 
-/** Chooses a candidate, or null to make the call wait at the entry node. */
+/**
+ * Chooses a candidate, or null to make the call wait at the entry node. `random` returns a number from 0 to 1; `affinity` is the prompt prefix of the call, empty for
+ * none: calls with the same prefix preferably go to the same server.
+ */
 export type PickBackend = (candidates: readonly Candidate[], random: () => number, affinity: string) => Candidate | null
 
 /** Takes a random candidate. */
@@ -24,7 +27,7 @@
   return pickLeastLoaded([candidates[first] as Candidate, candidates[second] as Candidate], random, '')
 }
 
-/** Takes a candidate with a free slot, by affinity, or else the least loaded one with room in its queue; otherwise the call waits at the entry node. */
+/** Takes a candidate with a free slot, by prompt prefix, or else the least loaded one with room in its queue; otherwise the call waits at the entry node. */
 export const pickLateBinding: PickBackend = (candidates, random, affinity) => {
   const withFreeSlot = candidates.filter((candidate) => candidate.load < candidate.limit)
   if (withFreeSlot.length > 0) return pickByAffinity(withFreeSlot, random, affinity)
@@ -32,10 +35,10 @@
   return pickLeastLoaded(withQueueRoom, random, affinity)
 }
 
-/** Load of a candidate, relative to the average, up to which it is chosen for its prefixes. */
+/** Load of a candidate, relative to the average, up to which it is chosen for the prompt prefixes that rank it first. */
 const AFFINITY_LOAD_FACTOR = 1.25
 
-/** Takes the highest-ranked candidate for the prefix by rendezvous hashing whose load does not exceed the bound, or else the least loaded one. */
+/** Takes the highest-ranked candidate for the prompt prefix by rendezvous hashing whose load does not exceed the bound, or else the least loaded one. */
 export const pickByAffinity: PickBackend = (candidates, random, affinity) => {
   if (affinity === '') return pickLeastLoaded(candidates, random, affinity)
   const total = candidates.reduce((sum, candidate) => sum + candidate.load / candidate.limit, 0)
--- a/packages/staging/src/_lib/offerPieces.ts
+++ b/packages/staging/src/_lib/offerPieces.ts
@@ -33,6 +33,7 @@
   readonly engine: staging.StagedEngine
   /** Sends pieces to peers. */
   readonly uplink: createPieceUplink.PieceUplink
+  /** Monotonic clock in milliseconds. */
   readonly now: () => number
 }
 
@@ -53,6 +54,7 @@
  * slow answer would look like a slow peer.
  */
 export const PIECE_WAIT_MS = 300
+/** Pause before a request is answered with nothing, so that the peer does not repeat it at once. */
 const UNAVAILABLE_PAUSE_MS = 50
 /** Backlog above which a peer is referred to another holder. With more than about three pieces queued at the uplink it gets a piece sooner from an agent that has it by now. */
 const BACKLOG_LIMIT_MS = 130
@@ -97,14 +99,14 @@
     const endsAt = options.now() + requester.waitMs
     const backlogLimitMs = requester.mayRefer ? BACKLOG_LIMIT_MS : REFERRED_BACKLOG_LIMIT_MS
     for (;;) {
-      const isHere = wanted.some(pieces.has)
-      if (isHere && options.uplink.backlogMs() <= backlogLimitMs) return send(pieces.pickForPeer(wanted))
-      const holders = isHere ? listZoneNodes() : null
+      const isHeld = wanted.some(pieces.has)
+      if (isHeld && options.uplink.backlogMs() <= backlogLimitMs) return send(pieces.pickForPeer(wanted))
+      const holders = isHeld ? listZoneNodes() : null
       if (holders !== null && !holders.has(requester.node)) return send(pieces.pickForPeer(wanted))
       const referral = holders !== null && requester.mayRefer ? pieces.refer(wanted, (node) => node !== requester.node && holders.has(node)) : null
       const leftMs = endsAt - options.now()
       if (referral !== null || leftMs <= 0) return referral
-      if (isHere) await types.delay(Math.min(leftMs, BACKLOG_POLL_MAXIMUM_MS, Math.max(BACKLOG_POLL_MINIMUM_MS, options.uplink.backlogMs() - backlogLimitMs)))
+      if (isHeld) await types.delay(Math.min(leftMs, BACKLOG_POLL_MAXIMUM_MS, Math.max(BACKLOG_POLL_MINIMUM_MS, options.uplink.backlogMs() - backlogLimitMs)))
       else await pieces.waitForAny(wanted, leftMs)
     }
   }
--- a/packages/staging/src/_lib/orderVersion.ts
+++ b/packages/staging/src/_lib/orderVersion.ts
@@ -10,12 +10,15 @@
   /** Called with true when the engine is about to change its version and must get no new calls, and with false afterwards. */
   readonly onPause: (isPaused: boolean) => void
   readonly onEvent: (event: string, fields: Readonly<Record<string, string | number | boolean>>) => void
+  /** Monotonic clock in milliseconds. */
   readonly now: () => number
 }
 
 /** Orders to one engine, whose stage must hold the verified version. */
 export interface VersionOrders {
-  readonly orderEmpty: (ready: staging.NamedVersion, state: staging.EngineState) => Promise<void>
+  /** Orders an engine that holds no version, without waiting. */
+  readonly orderFirstVersion: (ready: staging.NamedVersion, state: staging.EngineState) => Promise<void>
+  /** Pauses new calls, waits until queued ones have begun, and orders the change. */
   readonly order: (ready: staging.NamedVersion, method: staging.SwitchMethod) => Promise<void>
 }
 
@@ -24,6 +27,7 @@
 const PAUSE_PROPAGATION_MS = 80
 /** Longest time from the beginning of the pause to the order. */
 const PAUSE_MAXIMUM_MS = 500
+/** Time after an order before the engine is polled, so that it reports itself busy by then. */
 const ORDER_SETTLE_MS = 100
 /** Calls that end within this time after the engine's queue is empty are not aborted. */
 const SHORT_CALLS_MS = 250
@@ -35,8 +39,8 @@
  * @returns The functions; each resolves when the engine runs the version, or no longer works on the change.
  */
 export function createVersionOrders (options: OrderOptions & { readonly isStopped: () => boolean }): VersionOrders {
-  /** Orders an engine without a version, without waiting: it gets no calls, and after a restart of the whole fleet nobody is served until it has one. */
-  async function orderEmpty (ready: staging.NamedVersion, state: staging.EngineState): Promise<void> {
+  /** Does not wait, because an engine without a version gets no calls, and after a restart of the whole fleet nobody is served until it has one. */
+  async function orderFirstVersion (ready: staging.NamedVersion, state: staging.EngineState): Promise<void> {
     await startVersion(ready, state, 'finish')
     options.onPause(false)
   }
@@ -88,5 +92,5 @@
     }
   }
 
-  return { orderEmpty, order }
+  return { orderFirstVersion, order }
 }
--- a/packages/staging/src/_lib/originReads.ts
+++ b/packages/staging/src/_lib/originReads.ts
@@ -10,7 +10,9 @@
   /** Returns the number of agents that read from the origin. */
   readonly countAgents: () => number
   readonly window: createReceiveWindow.ReceiveWindow
+  /** Monotonic clock in milliseconds. */
   readonly now: () => number
+  /** Returns a random number from 0 to 1. */
   readonly random: () => number
   readonly onRead: (piece: number, bytes: Buffer) => void
   readonly onFailure: (piece: number, error: types.UnavailableError) => void
--- a/packages/staging/src/_lib/peerRequests.ts
+++ b/packages/staging/src/_lib/peerRequests.ts
@@ -27,6 +27,7 @@
   readonly window: createReceiveWindow.ReceiveWindow
   readonly has: (piece: number) => boolean
   readonly findPeer: (node: types.NodeId) => staging.StagingPeer | undefined
+  /** Monotonic clock in milliseconds. */
   readonly now: () => number
   readonly onPiece: (peer: staging.StagingPeer, sent: SentPiece) => void
   readonly onFailure: (peer: staging.StagingPeer, piece: number, error: types.UnavailableError) => void
@@ -44,11 +45,12 @@
   /** Whether a request to a peer is in progress. */
   readonly isAsked: (node: types.NodeId) => boolean
   /** Reports peers that take far longer than others. */
-  readonly reportSlow: () => void
+  readonly reportSlowPeers: () => void
 }
 
 /** Number of referrals that are followed for one request. */
 const REFERRALS_MAXIMUM = 2
+/** Shortest pause after a failed request before its peer may be asked again. */
 const FAILED_PAUSE_MS = 60
 /** While fewer peers than this are asked, each of them gets two concurrent requests. */
 const FEW_PEERS = 2
@@ -129,7 +131,7 @@
     ask: (peer, wanted) => { void askInParallel(peer, wanted) },
     mayAsk: (maximumAsked) => askedPeers.size < maximumAsked && options.window.hasRoom(),
     isAsked: (node) => askedPeers.has(node),
-    reportSlow: () => {
+    reportSlowPeers: () => {
       const slowMs = Math.max(SLOW_MS, SLOW_FACTOR * typicalMs)
       for (const { node, since } of openRequests) if (options.now() - since >= slowMs) options.onSlow(node)
     }
--- a/packages/staging/src/_lib/stagingFleet.ts
+++ b/packages/staging/src/_lib/stagingFleet.ts
@@ -339,7 +339,7 @@
 
   const calls: SimulatedCall[] = []
 
-  async function call (index: number): Promise<void> {
+  async function sendCall (index: number): Promise<void> {
     const sentAt = now()
     await network.carry(gatewayOf(regionOf(index)), names[index] as string, CALL_BYTES)
     calls.push({ sentMs: sentAt - startedAt, tookMs: now() - sentAt })
@@ -350,7 +350,7 @@
     const narrow = (): void => { for (const name of narrowed) network.setRate(name, bytesPerMs) }
     if (atMs <= 0) narrow()
     else setTimeout(narrow, atMs)
-    const timer = setInterval(() => { for (const index of narrowed.keys()) void call(index) }, CALL_EVERY_MS)
+    const timer = setInterval(() => { for (const index of narrowed.keys()) void sendCall(index) }, CALL_EVERY_MS)
     stops.push(() => { clearInterval(timer) })
   }
 
--- a/packages/staging/src/atSize.test.ts
+++ b/packages/staging/src/atSize.test.ts
@@ -1,9 +1,9 @@
 /**
  * Guards against a distribution that becomes slower with the number of agents. It had two causes.
- * 1. Each piece has one provider in a zone, whose queue grows with the agents: a reader has one piece for each of 14 other agents of its zone and an importer
+ * 1. Each piece has one provider in a zone, whose queue grows with the agents: one copy is read from the origin in 2.6 s, but a reader has one piece for each of 14 other agents of its zone and an importer
  *    of two more, so that the last agent gets a piece only after the whole queue.
  * 2. Timeouts that suit 15 agents on idle links classify pieces as overdue: 3.3 s after the naming all agents request the missing pieces from other agents too,
- *    from 5.1 s on also from other zones, and these bytes saturate the links between regions and the uplinks on which the remaining pieces wait.
+ *    from 5.1 s on also from other zones, and these bytes saturate the links between regions and the uplinks on which the remaining pieces wait, the more so the more agents there are.
  * At 73 daemons a named version was served after 15 s or never, and after a restart of all machines service was interrupted for more than 15 s; at 15 agents it
  * took 5.4 to 9.1 s. In these simulations 45 agents needed 6.0 s with full links (lower bound 3.7) and 11.4 s with 60 % of them (lower bound 6.1), 90 agents 9.0
  * and 15.6 s, and 15 agents 5.2 s in one run; pieces crossed into each region 1.4 and 6.7 times with 45 agents, 6.5 and 14.2 times with 90. Without the
--- a/packages/staging/src/createManifestReader/index.ts
+++ b/packages/staging/src/createManifestReader/index.ts
@@ -13,6 +13,7 @@
   /** Asks a peer for a manifest; the peer may hold the request until it has it. */
   readonly fetchManifest: (peer: staging.StagingPeer, id: staging.VersionId) => Promise<types.Outcome<readonly types.Digest[] | null, types.UnavailableError>>
   readonly onEvent: (event: string, fields: Readonly<Record<string, string | number | boolean>>) => void
+  /** Monotonic clock in milliseconds. */
   readonly now: () => number
   /** Returns a random number from 0 to 1. */
   readonly random: () => number
@@ -20,7 +21,7 @@
 
 /** Obtains manifests and provides them to peers. */
 export interface ManifestReader {
-  /** Retries until it has the manifest; from `lateFrom` on, more agents read from the origin themselves. Null when the manifest is no longer wanted. */
+  /** Retries until it has the manifest; from `lateFrom` on, a monotonic time in milliseconds, more agents read from the origin themselves. Null when the manifest is no longer wanted. */
   readonly obtain: (id: staging.VersionId, lateFrom: number, isWanted: () => boolean) => Promise<staging.StageManifest | null>
   /** Resolves with the digests for a peer, or with null when they are not available in time. */
   readonly provide: (id: staging.VersionId, waitMs: number) => Promise<readonly types.Digest[] | null>
@@ -49,6 +50,7 @@
 /** From this attempt on, an agent also asks other peers than the first readers of its zone, since those may have been refused by the origin. */
 const WIDE_SEARCH_TRY = 2
 const POLL_MS = 50
+/** Number of attempts that the primary reader makes for the request of a peer. */
 const ATTEMPTS_ON_BEHALF = 4
 
 /** State of the attempts to obtain one manifest. */
--- a/packages/staging/src/createPieceFetcher/index.ts
+++ b/packages/staging/src/createPieceFetcher/index.ts
@@ -23,7 +23,9 @@
   readonly expectedZones: () => readonly string[]
   /** Whether to read only the pieces assigned to this agent from the origin, and to leave the links between agents to an older version. */
   readonly isPrefetching: () => boolean
+  /** Monotonic clock in milliseconds. */
   readonly now: () => number
+  /** Returns a random number from 0 to 1. */
   readonly random: () => number
   readonly onEvent: (event: FetchEvent) => void
   /** Called with a peer that failed or is slow, and with this agent itself while its link is slow, so that all agents exclude it alike. */
@@ -38,10 +40,12 @@
   readonly reason: string
 }
 
+/** Pieces that one fetch received, and its failures. */
 export interface FetchCounts {
   originPieces: number
   peerPieces: number
   otherZonePieces: number
+  /** Failed requests and reads, and pieces that did not match their digest. */
   failures: number
 }
 
@@ -50,11 +54,14 @@
   readonly counts: FetchCounts
   /** Resolves with true when all pieces are stored, or with false when the fetch was stopped. */
   readonly completion: Promise<boolean>
+  /** Stops the fetch at its next step; pieces that are stored stay. */
   readonly stop: () => void
 }
 
+/** Interval of the steps that look for pieces to request. */
 const TICK_MS = 40
 const UNBOUNDED_WINDOW: createReceiveWindow.ReceiveWindow = { hasRoom: () => true, isBounded: () => false, queueMs: () => 0, linkFraction: () => 1, request: () => () => {}, beginArrival: () => () => {}, recordBytes: () => {} }
+/** Shortest time between two assignments of the pieces, unless a peer fails. */
 const ASSIGNMENT_INTERVAL_MS = 300
 /** A peer that failed is excluded from the assignment for this time. */
 const SUSPECT_MS = 2000
@@ -161,7 +168,7 @@
       end()
       return
     }
-    peers.reportSlow()
+    peers.reportSlowPeers()
     if (window.linkFraction() < 1) options.onSuspect(self.node)
     refreshAssignments()
     const missing = listMissing()
--- a/packages/staging/src/createPieceStore/index.ts
+++ b/packages/staging/src/createPieceStore/index.ts
@@ -14,6 +14,7 @@
   /** Resolves when one of the wanted pieces is stored, or after the milliseconds. */
   readonly waitForAny: (wanted: readonly number[], maximumMs: number) => Promise<void>
   readonly count: () => number
+  /** Whether every piece is stored. */
   readonly isWhole: () => boolean
   /** Picks one of the wanted pieces for a peer, the one that was picked least often; null when none is stored. */
   readonly pickForPeer: (wanted: readonly number[]) => PickedPiece | null
@@ -37,11 +38,12 @@
 
 /** The versions that an agent holds. */
 export interface PieceStore {
+  /** Returns the pieces of a version, and starts to store it if it is not known. */
   readonly open: (manifest: staging.StageManifest) => VersionPieces
   readonly find: (id: staging.VersionId) => VersionPieces | null
 }
 
-/** Number of versions kept in memory; the oldest is evicted first. */
+/** Number of versions kept in memory; the lowest version is evicted first. */
 const MAXIMUM_VERSIONS = 3
 
 /**
--- a/packages/staging/src/createPieceUplink/test.ts
+++ b/packages/staging/src/createPieceUplink/test.ts
@@ -1,6 +1,7 @@
 /**
  * Guards against late events: an agent that passes complete pieces of 32 KB to its link makes an event of its engine wait behind one or two of them, 49 ms
- * each, and one late event makes a stream late. This delayed half of the streams of all engines while a version was being distributed.
+ * each, and one late event makes a stream late. This delayed half of the streams of all engines while a version was being distributed, although their
+ * first events came in time.
  */
 import * as assert from 'node:assert/strict'
 import * as nodeTest from 'node:test'
@@ -17,10 +18,10 @@
 const MAXIMUM_MS = 2000
 
 /** A link that sends in order whatever is passed to it. */
-function createLink (): { readonly hand: (bytes: number) => number, readonly freeAt: () => number } {
+function createLink (): { readonly passBytes: (bytes: number) => number, readonly freeAt: () => number } {
   let freeAt = 0
   return {
-    hand: (bytes) => {
+    passBytes: (bytes) => {
       const start = Math.max(freeAt, Date.now())
       freeAt = start + bytes / LINK_BYTES_PER_MS
       return freeAt - Date.now()
@@ -42,7 +43,7 @@
   const sent = { bytes: 0, at: 0 }
   async function send (): Promise<void> {
     for await (const slice of uplink.send(Buffer.alloc(PIECE_BYTES))) {
-      link.hand(slice.length)
+      link.passBytes(slice.length)
       sent.bytes += slice.length
       sent.at = Date.now()
     }
@@ -50,7 +51,7 @@
   for (let piece = 0; piece < pieces; piece += 1) void send()
   let worstMs = 0
   for (let elapsed = 0; elapsed < MAXIMUM_MS && sent.bytes < pieces * PIECE_BYTES; elapsed += 1) {
-    if (Date.now() % EVENT_INTERVAL_MS === 0) worstMs = Math.max(worstMs, link.hand(EVENT_BYTES))
+    if (Date.now() % EVENT_INTERVAL_MS === 0) worstMs = Math.max(worstMs, link.passBytes(EVENT_BYTES))
     await advance(context)
   }
   assert.ok(worstMs <= EVENT_TRANSFER_MS + 25, `an event waited ${worstMs} ms`)
--- a/packages/staging/src/createReceiveWindow/index.ts
+++ b/packages/staging/src/createReceiveWindow/index.ts
@@ -40,6 +40,7 @@
 const SAMPLES_KEPT = 4
 /** Two sources must have sent pieces within this time, so that a single slow sender is not taken for a slow link. */
 const SOURCE_RECENT_MS = 10_000
+/** A link counts as slow below this fraction of its nominal rate. */
 const NARROW_FRACTION = 0.4
 
 /**
@@ -74,26 +75,26 @@
   }
 
   /** Measured rate in bytes per millisecond, or null while there are too few samples or sources. */
-  function measuredRate (): number | null {
+  function readMeasuredRate (): number | null {
     return rates.length === 0 || now() - previousSourceAt > SOURCE_RECENT_MS ? null : Math.max(...rates)
   }
 
-  function windowSize (): number {
-    const rate = measuredRate()
+  function computeWindowSize (): number {
+    const rate = readMeasuredRate()
     if (rate === null) return INITIAL_PIECES
     const pieces = 1 + Math.floor(rate * TARGET_DELAY_MS / pieceBytes)
     return pieces < UNBOUNDED_PIECES ? pieces : Infinity
   }
 
   function isBounded (): boolean {
-    return windowSize() < Infinity
+    return computeWindowSize() < Infinity
   }
 
   return {
-    hasRoom: () => requested < windowSize(),
+    hasRoom: () => requested < computeWindowSize(),
     isBounded,
     queueMs: () => {
-      const rate = measuredRate()
+      const rate = readMeasuredRate()
       return rate === null || !isBounded() ? 0 : requested * pieceBytes / rate
     },
     request: () => {
@@ -101,7 +102,7 @@
       return () => { requested -= 1 }
     },
     linkFraction: () => {
-      const fraction = (measuredRate() ?? nominalRate) / nominalRate
+      const fraction = (readMeasuredRate() ?? nominalRate) / nominalRate
       return rates.length === SAMPLES_KEPT && fraction < NARROW_FRACTION ? fraction : 1
     },
     beginArrival: () => {
--- a/packages/staging/src/createStager/index.ts
+++ b/packages/staging/src/createStager/index.ts
@@ -31,6 +31,7 @@
   readonly providePiece: offerPieces.ProvidePiece
   /** Records that a piece was sent to a peer. */
   readonly noteSent: (id: staging.VersionId, piece: number, requester: types.NodeId) => void
+  /** Resolves with a version's digests for a peer, or with null when they are not available within `waitMs`. */
   readonly provideManifest: (id: staging.VersionId, waitMs: number) => Promise<readonly types.Digest[] | null>
   /** Milliseconds since the current uninterrupted series of fetches began, 0 when nothing is being fetched. */
   readonly fetchingMs: () => number
@@ -77,6 +78,7 @@
   /** Fetch of the newest version while an older one is still being fetched. */
   let prefetch: ActiveFetch | null = null
   let fetchingSince: number | null = null
+  /** Version of the last fetch that was started; older ones are not fetched again. */
   let minimumVersion = 0
   let staged: StagedVersion | null = null
   /** Start time of the engine process for which the stage was written. */
@@ -85,10 +87,11 @@
   let held = 0
   /** Whether the engine had calls when its state was last read. */
   let isServing = false
+  /** Monotonic times in milliseconds at which versions were complete. */
   const completeAt = new Map<number, number>()
   const stopping = new AbortController()
   let isStepping = false
-  let wakeAgain = false
+  let mustStepAgain = false
   let turnTimer: NodeJS.Timeout | undefined
   const isStopped = (): boolean => stopping.signal.aborted
   const orders = orderVersion.createVersionOrders({ ...options, isStopped })
@@ -110,7 +113,7 @@
   /** Performs one step at a time; a wake-up during a step causes another one. */
   async function step (): Promise<void> {
     if (isStepping) {
-      wakeAgain = true
+      mustStepAgain = true
       return
     }
     isStepping = true
@@ -120,8 +123,8 @@
     } finally {
       isStepping = false
     }
-    if (!wakeAgain) return
-    wakeAgain = false
+    if (!mustStepAgain) return
+    mustStepAgain = false
     void step()
   }
 
@@ -144,7 +147,7 @@
     if (!isStagedFor(ready)) await stage(ready)
     if (options.now() < turnAt) wakeAt(turnAt)
     if (options.now() < turnAt || !isStagedFor(ready)) return
-    if (state.held === 0) await orders.orderEmpty(ready, state)
+    if (state.held === 0) await orders.orderFirstVersion(ready, state)
     else await orders.order(ready, turn.method)
   }
 
@@ -220,12 +223,12 @@
       held: state.held,
       rank: ranked.findIndex((agent) => agent.node === options.self.node),
       engines: ranked.length,
-      completeAt: completeAt.get(ready.id.version) ?? options.now() + remainingFetchMs(ready.id.version),
+      completeAt: completeAt.get(ready.id.version) ?? options.now() + computeRemainingFetchMs(ready.id.version),
       deadlineAt: ready.boundAt
     })
   }
 
-  function remainingFetchMs (version: number): number {
+  function computeRemainingFetchMs (version: number): number {
     return (1 - progressOf(version)) * options.wholeMs
   }
 
--- a/packages/staging/src/listDependable/index.ts
+++ b/packages/staging/src/listDependable/index.ts
@@ -63,10 +63,10 @@
   const votes = new Map<string, number>()
   for (const node of suspicions.flatMap((each) => [...new Set(each)])) votes.set(node, (votes.get(node) ?? 0) + 1)
   const suspected = agents.filter((agent) => (votes.get(agent.node) ?? 0) >= VOTES_MINIMUM)
-  const excluded = suspected.filter((agent) => (votes.get(agent.node) ?? 0) >= votesNeeded(agents.filter(({ zone }) => zone === agent.zone).length))
+  const excluded = suspected.filter((agent) => (votes.get(agent.node) ?? 0) >= computeVotesNeeded(agents.filter(({ zone }) => zone === agent.zone).length))
   return new Set(excluded.map(({ node }) => node))
 }
 
-function votesNeeded (agentsOfZone: number): number {
+function computeVotesNeeded (agentsOfZone: number): number {
   return Math.max(VOTES_MINIMUM, Math.ceil(agentsOfZone * VOTES_FRACTION))
 }
--- a/packages/staging/src/selectVersion/index.ts
+++ b/packages/staging/src/selectVersion/index.ts
@@ -13,6 +13,7 @@
   readonly progressOf: (version: number) => number
   /** Milliseconds that fetching all pieces of a version takes. */
   readonly fullFetchMs: number
+  /** Monotonic time in milliseconds. */
   readonly now: number
 }
 
@@ -33,11 +34,11 @@
     .sort((left, right) => left.id.version - right.id.version)
   const newest = candidates[candidates.length - 1]
   if (newest === undefined) return null
-  if (input.held === 0 || canServeBy(newest, earliestDeadline(candidates), input)) return newest
+  if (input.held === 0 || canServeBy(newest, findEarliestDeadline(candidates), input)) return newest
   return candidates.find((named) => named === newest || canServeBy(named, named.boundAt, input)) ?? newest
 }
 
-function earliestDeadline (candidates: readonly staging.NamedVersion[]): number {
+function findEarliestDeadline (candidates: readonly staging.NamedVersion[]): number {
   return candidates.reduce((earliest, named) => Math.min(earliest, named.boundAt), Infinity)
 }
 
--- a/packages/staging/src/types/index.ts
+++ b/packages/staging/src/types/index.ts
@@ -32,7 +32,7 @@
 /** What an engine does with running calls when it changes its version: complete them first, or abort them. */
 export type SwitchMethod = 'finish' | 'break-off'
 
-/** Result of an order to change the version, as far as the engine reported it. */
+/** Result of an order to change the version, as far as the engine reported it; `unknown` when it did not answer. */
 export type OrderOutcome = 'begun' | 'done' | 'refused' | 'unknown'
 
 /** State of an agent's engine. */
@@ -44,7 +44,9 @@
   readonly running: number
   /** Calls that are queued at the engine. */
   readonly waiting: number
+  /** Whether the engine is carrying out an order. */
   readonly isBusy: boolean
+  /** Number of orders that this engine process has accepted. */
   readonly sequence: number
 }
 
--- a/packages/staging/src/writeStage/index.ts
+++ b/packages/staging/src/writeStage/index.ts
@@ -10,6 +10,7 @@
   readonly failed: number
 }
 
+/** Number of pieces that are written or read at a time. */
 const CONCURRENCY = 4
 
 /**
