--- a/packages/daemon/src/_lib/callOracle.ts
+++ b/packages/daemon/src/_lib/callOracle.ts
@@ -14,6 +14,7 @@
 
 /** A guarantee that was broken for a call. */
 export interface Violation {
+  /** `twice`: a call that must run once ran more often; `unasked`: an engine got a request that no caller sent; `attempts`: a call was sent to too many engines. */
   readonly rule: 'twice' | 'refused-but-run' | 'foreign-answer' | 'short-answer' | 'event-order' | 'attempts' | 'unasked'
   readonly id: string
 }
--- a/packages/daemon/src/_lib/createBackEndList.ts
+++ b/packages/daemon/src/_lib/createBackEndList.ts
@@ -34,7 +34,7 @@
  * @returns The list.
  */
 export function createBackEndList ({ layersOf, onUnreadable }: BackEndListOptions): BackEndList {
-  /** Each change of one entry passes all entries again; the cache avoids parsing the unchanged ones. */
+  /** {@link BackEndList} is given all entries again when one has changed; the cache avoids parsing the unchanged ones. */
   const parseCache = new WeakMap<store.StoredObject, CachedEntry>()
   let backEnds: readonly gateway.BackEnd[] = []
   let byAddress: ReadonlyMap<string, gateway.BackEnd> = new Map()
--- a/packages/daemon/src/_lib/createTransferRequests.ts
+++ b/packages/daemon/src/_lib/createTransferRequests.ts
@@ -5,8 +5,17 @@
 
 const CONTROL_TIMEOUT_MS = 1000
 const MANIFEST_TIMEOUT_MS = 5000
+/** Number of peers that are asked for a manifest before the origin is. */
 const MAXIMUM_MANIFEST_PEERS = 3
 
+/**
+ * Creates the requests of a transfer.
+ *
+ * @param parts - Shared parts of the daemon.
+ * @param self - This node.
+ * @param backlog - Returns the number of uploads of this node that wait or are being sent.
+ * @returns The requests; those that fail resolve with the error, or with `unreachable` if a provider was asked.
+ */
 export function createTransferRequests (parts: createCommonParts.CommonParts, self: types.NodeId, backlog: () => number): transfer.TransferOptions['requests'] {
   const createFetchOptions = (timeoutMs: number, signal: AbortSignal): transfer.FetchOptions => ({ agents: parts.agents, identity: parts.identity, self, timeoutMs, signal })
   const formatOriginUrl = (source: string): string => `${parts.settings.origin.url}/${source}`
--- a/packages/daemon/src/_lib/engineNews.ts
+++ b/packages/daemon/src/_lib/engineNews.ts
@@ -22,16 +22,22 @@
 const statusSchema = zod.tuple([
   /** Address of the engine, or only its port if it runs on the agent's host. */
   zod.union([zod.string(), zod.number()]),
+  /** Sum of {@link PAUSED_FLAG} and {@link BUSY_FLAG}, as far as they apply. */
   zod.number().int().min(0).max(ALL_FLAGS),
+  /** Milliseconds until the engine switches to another version, or null. */
   zod.number().nullable(),
+  /** Calls that run and calls that wait at the engine. */
   zod.number(),
   zod.number(),
+  /** Number of orders that the engine has accepted since its start. */
   zod.number(),
+  /** Slowdown relative to the service's figures. */
   zod.number(),
   /** Version of the service's only model, or 0 if none is loaded; otherwise pairs of model name and version. */
   zod.union([zod.number(), zod.array(zod.tuple([zod.string(), zod.number()]))]),
+  /** Start time of the engine in Unix milliseconds, in base {@link START_TIME_RADIX}; null if unknown. */
   zod.string().regex(/^[0-9a-z]+$/).nullable(),
-  /** Rate limit that the engine states; absent if it states none. */
+  /** Rate limit in requests per second that the engine advertises; absent if it advertises none. */
   zod.number().positive().optional()
 ])
 /** Significant digits that are sent of measured values; they are not more accurate than that. */
--- a/packages/daemon/src/_lib/planTransfer.ts
+++ b/packages/daemon/src/_lib/planTransfer.ts
@@ -7,12 +7,20 @@
 /** Plans the transfer of a row to this node. */
 export type PlanTransfer = (row: types.ModelRow, members: readonly membership.Member[]) => transfer.WantedVersion
 
+/** Transfer policies that the settings can name. */
 export type PolicyName = 'swarm' | 'random-chunk' | 'chain' | 'tree' | 'origin'
 
 /** Maximum number of peers in the node's own hall. */
 const MAXIMUM_HALL_PEERS = 48
 
-/** Creates the function that plans transfers to a node. */
+/**
+ * Creates the function that plans transfers to a node.
+ *
+ * @param self - The node.
+ * @param table - Returns the table in force.
+ * @param policyName - The policy to use for all transfers.
+ * @returns The function.
+ */
 export function createPlanTransfer (self: transfer.Peer, table: () => types.Table, policyName: PolicyName): PlanTransfer {
   return (row, members) => {
     const holders = listHolders(row, table(), members)
@@ -32,7 +40,7 @@
 
 interface Holder {
   readonly peer: transfer.Peer
-  /** Whether the table places the row on this node; otherwise the node only still holds chunks of it. */
+  /** Whether the table places the row on the peer; otherwise the peer only still holds chunks of it. */
   readonly isPlaced: boolean
 }
 
--- a/packages/daemon/src/_lib/quarantineFacts.test.ts
+++ b/packages/daemon/src/_lib/quarantineFacts.test.ts
@@ -17,7 +17,7 @@
   for (const fact of FACTS) assert.deepEqual(quarantineFacts.parseFact(JSON.parse(JSON.stringify(quarantineFacts.formatFact(fact)))), fact)
 })
 
-nodeTest.test('lives of the same backend server have different names', () => {
+nodeTest.test('process instances of the same backend server have different identifiers', () => {
   assert.notEqual(types.formatLife(types.brandId('i-1'), 1), types.formatLife(types.brandId('i-1'), 2))
 })
 
--- a/packages/daemon/src/_lib/quarantineFacts.ts
+++ b/packages/daemon/src/_lib/quarantineFacts.ts
@@ -8,13 +8,13 @@
   | { readonly kind: 'end', readonly life: types.BackEndLife, readonly calls: readonly quarantine.CallFingerprint[] }
   /** A suspected call was answered completely. */
   | { readonly kind: 'served', readonly call: quarantine.CallFingerprint }
-  /** A call was blocked; `count` tells for which time. */
+  /** A call was blocked; `count` is the number of times that it has been blocked, from 1. */
   | { readonly kind: 'block', readonly call: quarantine.CallFingerprint, readonly count: number }
 
 const END_CODE = 'e'
 const SERVED_CODE = 's'
 const BLOCK_CODE = 'b'
-/** Maximum number of calls in a fact, so that it fits into a datagram; further calls go into another fact. */
+/** Maximum number of calls in one fact, so that the fact fits into a datagram; further calls go into another fact. */
 export const MAXIMUM_CALLS = 48
 
 /** Encodes a fact as an array, which is short in JSON. */
--- a/packages/daemon/src/_lib/rateLimitFacts.ts
+++ b/packages/daemon/src/_lib/rateLimitFacts.ts
@@ -1,4 +1,4 @@
-/** Facts that gateways share about the rate limits that backend servers state. */
+/** Facts that gateways share about the rate limits that backend servers advertise. */
 import type * as rateLimits from '@switchridge/rate-limits'
 import * as types from '@switchridge/types'
 
--- a/packages/daemon/src/createBackendCalls/index.ts
+++ b/packages/daemon/src/createBackendCalls/index.ts
@@ -18,6 +18,7 @@
   share: zod.number().positive(),
   priority: zod.enum(['interactive', 'batch']),
   method: zod.string().max(16),
+  /** Time left until the deadline, in milliseconds. */
   deadlineMs: zod.number(),
   isRepeatable: zod.boolean()
 })
--- a/packages/daemon/src/createCallQuarantine/index.ts
+++ b/packages/daemon/src/createCallQuarantine/index.ts
@@ -1,4 +1,4 @@
-/** Keeps calls that crash back ends away from the remaining ones: combines a gateway's probes of back ends whose connections broke with what all gateways share. */
+/** Keeps calls that crash back ends away from the other back ends. A gateway probes back ends whose connections broke, and combines the results with the facts that all gateways share. */
 import * as gateway from '@switchridge/gateway'
 import * as quarantine from '@switchridge/quarantine'
 import * as types from '@switchridge/types'
--- a/packages/daemon/src/createClaims/index.ts
+++ b/packages/daemon/src/createClaims/index.ts
@@ -38,7 +38,7 @@
 /** The idempotency claims of an entry node. */
 export interface Claims {
   readonly acquire: (account: types.AccountId, service: types.ServiceName, key: string) => Promise<ClaimResult>
-  /** Removes claims older than a day, and unreadable ones; returns how many. */
+  /** Removes claims older than a day, and unreadable ones, among the first 200 that the platform lists; returns how many. */
   readonly sweep: () => Promise<number>
 }
 
--- a/packages/daemon/src/createCommonParts/index.ts
+++ b/packages/daemon/src/createCommonParts/index.ts
@@ -45,6 +45,7 @@
  *
  * @param checked - The validated settings.
  * @returns The parts; nothing is opened or sent yet.
+ * @throws If a TLS file that the settings name cannot be read.
  */
 export function createCommonParts (checked: settings.Settings): CommonParts {
   const logger = observability.createLogger('daemon', { node: checked.node, hall: checked.data_hall }, { level: checked.logs.level })
--- a/packages/daemon/src/createDispatcher/index.ts
+++ b/packages/daemon/src/createDispatcher/index.ts
@@ -7,7 +7,7 @@
   readonly loads: routing.BackendLoads
   readonly health: routing.BackendHealth
   readonly pick: routing.PickBackend
-  /** Backend servers that can currently take calls of the service and row. */
+  /** Returns the backend servers that can currently take calls of the service and row; the row is empty for a plain service. */
   readonly listBackends: (service: types.ServiceName, row: string) => readonly types.MemberFacts[]
   readonly findService: (service: types.ServiceName) => types.ServiceRow | undefined
   /** Backend servers in this data hall are preferred while they have free slots. */
@@ -21,13 +21,15 @@
   readonly service: types.ServiceName
   readonly row: string
   readonly queued: routing.QueuedCall
+  /** Calls with the same text preferably go to the same backend server, as far as its load allows; empty for no preference. */
   readonly affinity: string
-  /** Servers already tried for this call. */
+  /** Servers already tried for this call; the others are preferred. */
   readonly tried: ReadonlySet<types.NodeId>
 }
 
 /** The pending or immediate assignment of a backend server. */
 export interface Dispatched {
+  /** Resolves to the backend server, or to an error once the call cannot be assigned any more. */
   readonly backend: Promise<types.Outcome<types.MemberFacts, routing.NotRunError>>
   readonly cancel: (reason: routing.RefusalReason) => void
 }
@@ -37,6 +39,7 @@
   readonly submit: (request: DispatchRequest) => Dispatched
   /** Assigns queued calls as far as backend servers have capacity. */
   readonly pump: () => void
+  /** Returns the number of queued calls. */
   readonly waiting: () => number
 }
 
--- a/packages/daemon/src/createEngineOrders/index.ts
+++ b/packages/daemon/src/createEngineOrders/index.ts
@@ -26,7 +26,9 @@
 
 /** Options of {@link createEngineOrders}. */
 export interface EngineOrderOptions {
+  /** Base URL of the engine. */
   readonly url: string
+  /** Whether the engine rejects orders with an outdated fencing token. */
   readonly checksFences: boolean
   readonly lease: platform.Lease
   readonly agents: rpc.HttpAgents
--- a/packages/daemon/src/createEntryCalls/index.ts
+++ b/packages/daemon/src/createEntryCalls/index.ts
@@ -50,6 +50,7 @@
 interface PreparedCall {
   readonly call: sendAttempt.OutgoingCall
   readonly service: types.ServiceRow
+  /** Calls with the same text preferably go to the same backend server, as far as its load allows; empty for no preference. */
   readonly affinity: string
   /** Idempotency key; empty when the caller sent none or the call is repeatable anyway. */
   readonly key: string
--- a/packages/daemon/src/createEntryQuarantine/index.ts
+++ b/packages/daemon/src/createEntryQuarantine/index.ts
@@ -1,4 +1,4 @@
-/** Keeps calls that crash back ends away from the remaining ones, at entry nodes: these ask the daemon beside a back end whether it terminated, and share facts with each other by JSON-RPC. */
+/** Keeps calls that crash back ends away from the other back ends. An entry node asks the daemon beside a back end whether the back end terminated, and shares facts with other entry nodes by JSON-RPC. */
 import * as quarantine from '@switchridge/quarantine'
 import type * as rpc from '@switchridge/rpc'
 import * as spread from '@switchridge/spread'
@@ -19,6 +19,7 @@
   readonly guard: EntryGuard
   /** RPC methods that other entry nodes call. */
   readonly methods: Record<string, rpc.RpcMethod>
+  /** Whether this entry node has tried to load the blocks in force, or has had enough time to receive them from peers. */
   readonly isSettled: () => boolean
   /** Counters for operators: remembered terminations of back ends, and blocked calls. */
   readonly counts: () => { readonly 'quarantine.ends': number, readonly 'quarantine.blocked': number }
@@ -54,7 +55,7 @@
     settings: settings.quarantine,
     store: adaptStore(parts.store),
     mayAskStore,
-    tell: (content, keptMs, ageMs) => { facts.tell(content, keptMs, ageMs) },
+    tell: (content, ttlMs, ageMs) => { facts.tell(content, ttlMs, ageMs) },
     onReportedEnd: () => {},
     logger,
     count,
--- a/packages/daemon/src/createFleetExchange/index.ts
+++ b/packages/daemon/src/createFleetExchange/index.ts
@@ -17,7 +17,7 @@
   readonly fetchChanges: spread.CopySyncOptions['fetchChanges']
   readonly describeSelf: (isStoreLost: boolean) => spread.Heartbeat
   readonly onHeartbeat: spread.GossipOptions['onHeartbeat']
-  /** Handles facts received from other gateways. */
+  /** Handles facts received from other gateways, with the monotonic time in milliseconds at which they were created. */
   readonly onFact: spread.FactExchangeOptions['onFact']
   /** Handles datagrams of other protocols; false for datagrams that it does not recognise. */
   readonly onDatagram: (bytes: Buffer, from: string) => boolean
--- a/packages/daemon/src/createFleetExchange/size.test.ts
+++ b/packages/daemon/src/createFleetExchange/size.test.ts
@@ -1,8 +1,8 @@
 /**
  * Guards against traffic between regions that grows with the number of daemons. If every daemon copies a configuration over the shared link of its region, the
  * link stays full, and weights and heartbeats queue behind: 13 copies of 0.6 MB take 3 s over 20 Mbit/s. A timeout of 1.2 s for the whole transfer,
- * instead of its silence, then aborts all of them, the transfers start over, and no gateway of that region becomes ready. And if the revision of a copy is the
- * store's counter instead of a mark of its content, every daemon that restarts seems ahead of the others, which then copy what did not change. With both
+ * instead of for the time without a byte, then aborts all of them, the transfers start over, and no gateway of that region becomes ready. And if copies are compared by the
+ * store's revision counter instead of by their content, every daemon that restarts seems ahead of the others, which then copy what did not change. With both
  * faults 26 gateways stay behind, and 93 MB (a change) or 153 MB (a restart of all) cross between regions in 12 s for a configuration of 0.5 MB.
  */
 import * as assert from 'node:assert/strict'
--- a/packages/daemon/src/createFleetParts/index.ts
+++ b/packages/daemon/src/createFleetParts/index.ts
@@ -193,7 +193,7 @@
   readonly isStoreLost: boolean
 }
 
-/** Creates this daemon's heartbeat. */
+/** Creates this daemon's heartbeat; `engine` is the encoded status of an agent's engine, and `suspects` are the nodes that an agent currently excludes from fetches. */
 export function describeSelf (parts: FleetParts, { isLeaving, isStoreLost }: SelfState, engine: unknown = null, suspects: readonly string[] = []): spread.Heartbeat {
   return {
     node: types.brandId<types.NodeId>(parts.settings.node),
@@ -209,13 +209,13 @@
   }
 }
 
-/** Reads the hosts of the seeds. */
+/** Returns the hosts of the seeds, the daemons that this one contacts first. */
 export function readSeedHosts (checked: settings.FleetSettings): string[] {
   return checked.seeds.map((seed) => platform.parseAddress(seed).host)
 }
 
 /** Creates the function that requests changes of a kind from a peer. */
-export function fetchChanges (parts: FleetParts): spread.CopySyncOptions['fetchChanges'] {
+export function createChangesFetcher (parts: FleetParts): spread.CopySyncOptions['fetchChanges'] {
   return async (host, request, signal) => {
     const part = copyParts.partOf(request.kind, parts.settings.role)
     const sent = await rpc.sendRequest(parts.agents, {
--- a/packages/daemon/src/createHeartbeats/index.ts
+++ b/packages/daemon/src/createHeartbeats/index.ts
@@ -24,7 +24,7 @@
   readonly seeds: readonly types.Address[]
   readonly readLoad: () => routing.Load | null
   readonly noteLoad: (node: types.NodeId, load: routing.StatedLoad) => void
-  /** Called after each round, and after each received heartbeat with changed facts. */
+  /** Called after each round, and after each received heartbeat with changed facts or from a daemon that was not known as live. */
   readonly onRefresh: () => void
   /** Random number from 0 to 1. */
   readonly random: () => number
@@ -54,7 +54,7 @@
 const HEARTBEAT_TIMEOUT_MS = 1000
 const TABLE_TIMEOUT_MS = 5000
 const JITTER = 0.2
-/** Entry nodes of the settings that are not known yet are contacted once in this many rounds. */
+/** Entry nodes of the settings that are not known yet are contacted once in this many rounds, or in every round while there is no hub to report to. */
 const SEED_RETRY_ROUNDS = 4
 
 /**
--- a/packages/daemon/src/createNodeListPoll/index.ts
+++ b/packages/daemon/src/createNodeListPoll/index.ts
@@ -1,4 +1,4 @@
-/** Polls the platform's node list once a second, with exponential backoff while the platform is unavailable. */
+/** Polls the platform's node list about once a second, with exponential backoff up to about 8 s while the platform is unavailable. */
 import * as types from '@switchridge/types'
 import type * as membership from '@switchridge/membership'
 
@@ -14,7 +14,7 @@
 /**
  * Creates the poll.
  *
- * @param read - Reads the list.
+ * @param read - Requests the list from the platform.
  * @param onList - Called with each list.
  * @param random - Random number from 0 to 1, for the jitter.
  * @param isReader - Whether this entry node has to read the list; hubs do, and pass it on.
--- a/packages/daemon/src/createPlacementLoop/test.ts
+++ b/packages/daemon/src/createPlacementLoop/test.ts
@@ -15,13 +15,14 @@
 const BYTES = 8
 const CHUNK_BYTES = 4
 
-async function makeVersion (text: string) {
+async function createVersion (text: string) {
   const manifest = await transfer.createManifest([Buffer.from(text)], CHUNK_BYTES)
   return { text, manifest, digest: transfer.computeDigest(transfer.formatManifest(manifest)) }
 }
 
-type Version = Awaited<ReturnType<typeof makeVersion>>
+type Version = Awaited<ReturnType<typeof createVersion>>
 
+/** Runs the event loop until the steps that were started have ended. */
 const settle = async (): Promise<void> => { for (let turn = 0; turn < 20; turn += 1) await new Promise((resolve) => { setImmediate(resolve) }) }
 
 /** Creates a backend daemon's loop with an engine that records its orders. */
@@ -88,7 +89,7 @@
 
 test.describe('createPlacementLoop', () => {
   test.it('loads nothing before the last chunk has arrived, and serves only what the engine confirmed', async () => {
-    const version = await makeVersion('aaaabbbb')
+    const version = await createVersion('aaaabbbb')
     const loop = createLoop(100)
     await loop.place(version)
     await loop.fill(version, 1)
@@ -104,7 +105,7 @@
   })
 
   test.it('keeps the old version loaded until the calls that began on it have ended', async () => {
-    const [first, second] = [await makeVersion('aaaabbbb'), await makeVersion('aaaacccc')]
+    const [first, second] = [await createVersion('aaaabbbb'), await createVersion('aaaacccc')]
     const loop = createLoop(100)
     await loop.place(first)
     await loop.fill(first, 2)
@@ -119,7 +120,7 @@
   })
 
   test.it('does not unload a version that was assigned again while its calls were draining', async () => {
-    const [first, second] = [await makeVersion('aaaabbbb'), await makeVersion('aaaacccc')]
+    const [first, second] = [await createVersion('aaaabbbb'), await createVersion('aaaacccc')]
     const loop = createLoop(100)
     await loop.place(first)
     await loop.fill(first, 2)
@@ -135,7 +136,7 @@
   })
 
   test.it('waits for its turn when memory holds only one version, so that enough replicas keep serving', async () => {
-    const [first, second] = [await makeVersion('aaaabbbb'), await makeVersion('aaaacccc')]
+    const [first, second] = [await createVersion('aaaabbbb'), await createVersion('aaaacccc')]
     const loop = createLoop(BYTES)
     await loop.place(first)
     await loop.fill(first, 2)
--- a/packages/daemon/src/createRateLimiter/index.ts
+++ b/packages/daemon/src/createRateLimiter/index.ts
@@ -1,4 +1,4 @@
-/** Enforces the rate limits that back ends state, together with all other gateways: records the limits in force and obtains a permit for each request to a limited back end. */
+/** Enforces the rate limits that back ends advertise, together with all other gateways: records the limits in force and obtains a permit for each request to a limited back end. */
 import type * as gateway from '@switchridge/gateway'
 import * as rateLimits from '@switchridge/rate-limits'
 import type * as spread from '@switchridge/spread'
@@ -21,19 +21,19 @@
 
 /** The rate limiter of a gateway. */
 export interface GatewayRateLimiter extends gateway.RateLimiter {
-  /** Records a limit stated in a back end's report, with the monotonic time of the report in milliseconds; reports reach all gateways. */
+  /** Records a limit in requests per second from a back end's report, with the monotonic time of the report in milliseconds. Reports reach all gateways. */
   readonly noteReported: (backEnd: gateway.BackEnd, perSecond: number, at: number) => void
-  /** Limits in force. */
+  /** Lists the limits in force, including those learned from other gateways. */
   readonly inForce: () => rateLimits.RateLimit[]
   /** Forgets the limits of back ends that are no longer listed. */
   readonly keepListed: () => void
-  /** Handles a fact from another gateway; returns false if the fact is not about rate limits. */
+  /** Handles a fact that another gateway created at a monotonic time in milliseconds; returns false if the fact is not about rate limits. */
   readonly noteFact: (content: unknown, madeAt: number) => boolean
   /** Handles a datagram; returns false if it is not about permits. */
   readonly receive: (bytes: Buffer, from: string) => boolean
 }
 
-/** Peers keep a published limit for this long. A limit is published again while it is in force, so that outdated ones don't crowd out other facts. */
+/** Peers keep a published limit only for this long, so that outdated limits don't crowd out other facts; a limit is published again while it is in force. */
 const FACT_LIFETIME_MS = 90_000
 
 /**
@@ -80,6 +80,7 @@
     return backEnd === undefined ? null : rateLimits.chooseCounter({ life, host: backEnd.address.host, zone: backEnd.zone }, listCandidates())
   }
 
+  /** Returns the fraction of a limit for which this gateway may grant permits; null if another daemon counts them. */
   function partOf (life: types.BackEndLife): number | null {
     const chosen = findCounter(life)
     return chosen?.host === ownHost ? chosen.part : null
--- a/packages/daemon/src/createRateLimiter/size.test.ts
+++ b/packages/daemon/src/createRateLimiter/size.test.ts
@@ -21,9 +21,9 @@
 const SIMULATED_MS = 12_000
 const COUNTER_STOP_MS = 4000
 const COUNTER_RESTART_MS = 6000
-/** After the counter's restart, gateways must find it within this time. */
+/** After the restart of the daemon that counts permits, gateways must find it within this time. */
 const REDISCOVERY_MS = 1000
-/** Least share of the permitted rate that must be used while there is a counter. */
+/** Minimum share of the permitted rate that must be used while a daemon counts the permits. */
 const MINIMUM_USED_SHARE = 0.9
 const SEED = 7
 const COUNTER_HOST = '10.1.1.3'
--- a/packages/daemon/src/createSelfFacts/index.ts
+++ b/packages/daemon/src/createSelfFacts/index.ts
@@ -4,7 +4,7 @@
 /** Facts that change while the daemon runs. */
 export type MutableFacts = Pick<types.MemberFacts, 'state' | 'serving' | 'holding' | 'waitingFor' | 'revision'>
 
-/** The facts of this daemon. */
+/** The facts of one daemon, with change notification. */
 export interface SelfFacts {
   readonly read: () => types.MemberFacts
   /** Changes facts; their version is incremented only if something differs. */
--- a/packages/daemon/src/createSharedQuarantine/index.ts
+++ b/packages/daemon/src/createSharedQuarantine/index.ts
@@ -12,8 +12,8 @@
   readonly store: createBlockArchive.BlockArchiveOptions['store']
   /** Whether this daemon reads the store on behalf of others. */
   readonly mayAskStore: () => boolean
-  /** Publishes a fact to all peers. */
-  readonly tell: (content: unknown, keptMs: number, ageMs: number) => void
+  /** Publishes a fact that was created `ageMs` milliseconds ago to all peers, which keep it until its age is `ttlMs`. */
+  readonly tell: (content: unknown, ttlMs: number, ageMs: number) => void
   /** Called with terminations of back ends that peers observed, and their monotonic time in milliseconds. */
   readonly onReportedEnd: (life: types.BackEndLife, at: number) => void
   readonly logger: observability.Logger
@@ -43,9 +43,9 @@
   readonly noteServed: (call: quarantine.CallFingerprint) => void
   /** Registers a listener for each call that becomes blocked. */
   readonly onBlocked: (listener: (call: quarantine.CallFingerprint) => void) => void
-  /** Handles a fact from another daemon. */
+  /** Handles a fact that another daemon created at a monotonic time in milliseconds. */
   readonly noteFact: (content: unknown, madeAt: number) => void
-  /** Whether this daemon has loaded the blocks in force, or has had enough time to receive them from peers. */
+  /** Whether this daemon has tried to load the blocks in force from the store, or has had enough time to receive them from peers. */
   readonly isSettled: () => boolean
   readonly blocks: () => quarantine.CallBlock[]
   readonly countSuspects: () => number
@@ -142,8 +142,8 @@
     recordFrom('store', () => { record.noteBlock(block) })
   }
 
-  function publish (fact: quarantineFacts.QuarantineFact, keptMs: number, ageMs = 0): void {
-    options.tell(quarantineFacts.formatFact(fact), keptMs, ageMs)
+  function publish (fact: quarantineFacts.QuarantineFact, ttlMs: number, ageMs = 0): void {
+    options.tell(quarantineFacts.formatFact(fact), ttlMs, ageMs)
   }
 
   function noteEnd (ended: EndedBackEnd, call: quarantine.CallFingerprint): void {
--- a/packages/daemon/src/createWatchDuty/index.ts
+++ b/packages/daemon/src/createWatchDuty/index.ts
@@ -11,7 +11,7 @@
   readonly peers: () => readonly spread.Peer[]
   /** Whether a peer's last heartbeat is recent enough for the rate at which daemons of the hall send them. */
   readonly isLive: (peer: spread.Peer) => boolean
-  /** Whether the store failed to answer this daemon's last calls. */
+  /** Whether this daemon's last call to the store failed for at least one kind. */
   readonly isStoreLost: () => boolean
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
@@ -25,9 +25,11 @@
 /** Decides the watch duty of one daemon. */
 export interface WatchDuty {
   /**
+   * Returns whether this daemon may send requests about a kind to the store now.
+   *
    * @param isKnown - Whether there is a copy of the kind.
-   * @param isReachable - Whether the store answered the last call for the kind.
-   * @param scope - Who watches the kind.
+   * @param isReachable - Whether the store answered the last call for the kind. If it did not, the daemon may keep trying.
+   * @param scope - Which daemons watch the kind.
    */
   readonly mayWatch: (isKnown: boolean, isReachable: boolean, scope: WatchScope) => boolean
   /** How long this daemon waits for its own hall before it requests a copy from another hall, in milliseconds. */
@@ -52,6 +54,7 @@
 /** Gateways wait longer the later they are in the ranking before they ask another hall, so that one copy crosses between halls and the others find it in their own. */
 const REMOTE_HALL_STEP_MS = 200
 const REMOTE_HALL_MAXIMUM_MS = 1200
+/** Longer than the delay of any gateway. */
 const AGENT_REMOTE_HALL_DELAY_MS = 1500
 /** An election is reused for this long, because each kind asks for it many times a second; short compared with the timeouts above. */
 const ELECTION_CACHE_MS = 90
--- a/packages/daemon/src/followVersions/index.ts
+++ b/packages/daemon/src/followVersions/index.ts
@@ -32,7 +32,7 @@
   readonly boundMs: number
   /** Calls are no longer sent to older versions this many milliseconds before the bound, since they may queue at the engine. */
   readonly marginMs: number
-  /** Bound in milliseconds for versions that were announced before this process started. */
+  /** Bound in milliseconds, if shorter than the usual one, for versions that this process reads right after its start, since they may have been announced before it. */
   readonly startMs: number
   /** Called when a version is new, or when its bound moves earlier by a second or more. */
   readonly onBound: (id: staging.VersionId, bound: VersionBound) => void
--- a/packages/daemon/src/openTextServer/index.ts
+++ b/packages/daemon/src/openTextServer/index.ts
@@ -22,7 +22,7 @@
  *
  * @param address - The address to listen on.
  * @param paths - Handlers by path; other paths get status 404.
- * @returns The running server.
+ * @returns The running server. Rejects if the address cannot be bound.
  */
 export async function openTextServer (address: types.Address, paths: Readonly<Record<string, () => TextAnswer | Promise<TextAnswer>>>): Promise<TextServer> {
   async function answer (request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
--- a/packages/daemon/src/sendAttempt/index.ts
+++ b/packages/daemon/src/sendAttempt/index.ts
@@ -21,10 +21,12 @@
   readonly deadlineAt: number
 }
 
-/** Outcome of an attempt. */
+/** Outcome of an attempt, with the load that the backend daemon reported. */
 export type AttemptResult =
   | { readonly kind: 'answered', readonly response: http.IncomingMessage, readonly load: routing.StatedLoad | undefined }
+  /** The call was not executed, and this attempt never will be. */
   | { readonly kind: 'not-run', readonly reason: string, readonly load: routing.StatedLoad | undefined }
+  /** The call may have been executed. */
   | { readonly kind: 'unknown', readonly reason: string, readonly load: routing.StatedLoad | undefined }
 
 /** Options of {@link sendAttempt}. */
@@ -33,6 +35,7 @@
   readonly identity: rpc.Identity
   readonly agents: rpc.HttpAgents
   readonly client: rpc.RpcClient
+  /** Monotonic clock in milliseconds. */
   readonly now: () => number
   readonly signal: AbortSignal
 }
--- a/packages/daemon/src/startAgentRole/index.ts
+++ b/packages/daemon/src/startAgentRole/index.ts
@@ -48,7 +48,7 @@
  * Starts the agent role.
  *
  * @param checked - The validated settings.
- * @returns The running role.
+ * @returns The running role. Rejects if the address for other daemons cannot be bound.
  */
 export async function startAgentRole (checked: settings.FleetSettings): Promise<fleetRole.FleetRole> {
   const parts = createFleetParts.createFleetParts(checked)
@@ -80,7 +80,7 @@
     parts,
     store: null,
     openDatagrams: spread.openDatagrams(checked.host, checked.internal_port),
-    fetchChanges: createFleetParts.fetchChanges(parts),
+    fetchChanges: createFleetParts.createChangesFetcher(parts),
     describeSelf: () => createFleetParts.describeSelf(parts, { isLeaving, isStoreLost: false }, report === null ? null : engineNews.formatEngineNews({ address: engineAddress, report, isPaused, changesInMs }, { host: checked.host, soleModel: findSoleModel }), listSuspects()),
     onHeartbeat: (heartbeat) => { if (createFleetParts.noteVersions(parts, heartbeat)) stager?.wake() },
     onFact: () => {},
--- a/packages/daemon/src/startDaemon/index.ts
+++ b/packages/daemon/src/startDaemon/index.ts
@@ -21,7 +21,7 @@
  * Starts a daemon.
  *
  * @param checked - The validated settings.
- * @returns The running role.
+ * @returns The running role. Rejects if an address cannot be bound or a TLS file cannot be read.
  */
 export async function startDaemon (checked: settings.Settings): Promise<RunningRole> {
   const parts = createCommonParts.createCommonParts(checked)
--- a/packages/daemon/src/startDaemon/test.ts
+++ b/packages/daemon/src/startDaemon/test.ts
@@ -32,7 +32,7 @@
   readonly entry: startDaemon.RunningRole
   readonly backends: startDaemon.RunningRole[]
   readonly startBackend: (name: string) => Promise<startDaemon.RunningRole>
-  readonly editVersion: (version: string) => Promise<boolean>
+  readonly addService: (suffix: string) => Promise<boolean>
   readonly generate: (prompt: string) => Promise<{ outcome: string, tokens: string[], version: string }>
 }
 
@@ -69,7 +69,7 @@
     entry,
     backends,
     startBackend,
-    editVersion: async (version) => await edit('services', `other-${version}`, { kind: 'plain' }),
+    addService: async (suffix) => await edit('services', `other-${suffix}`, { kind: 'plain' }),
     generate: async (prompt) => {
       const answer = await got.got.post(`${base}/services/llm/models/m/generate`, { json: { prompt, tokens: TOKENS }, retry: { limit: 0 }, throwHttpErrors: false })
       const lines = answer.body.split('\n').filter((line) => line.includes('"token"'))
@@ -119,7 +119,7 @@
     const revision = await readStatus(hall.entry, (status) => status.self.revision)
     await got.got.put(`${hall.platformUrl}/admin/faults`, { json: { isDown: true } })
     await waitUntil(async () => (await hall.generate('without')).outcome === 'answered')
-    assert.equal(await hall.editVersion('2'), false)
+    assert.equal(await hall.addService('2'), false)
     const replacement = await hall.startBackend('backend-3')
     await waitUntil(async () => await readStatus(replacement, (status) => status.self.revision === revision && status.self.holding.length === 1))
     await got.got.put(`${hall.platformUrl}/admin/faults`, { json: { isDown: false } })
--- a/packages/daemon/src/startEntryRole/index.ts
+++ b/packages/daemon/src/startEntryRole/index.ts
@@ -30,7 +30,7 @@
 /** How long a draining entry node still accepts calls, until the load balancer has seen its health check fail. */
 const BALANCER_GRACE_MS = 2000
 const DRAIN_POLL_MS = 50
-const PUMP_INTERVAL_MS = 50
+const DISPATCH_INTERVAL_MS = 50
 const SWEEP_INTERVAL_MS = 60_000
 
 /**
@@ -161,7 +161,7 @@
     void heartbeats.sendNow()
   })
   const sweepTimer = setInterval(() => { if (isClaimSweeper()) void claims.sweep() }, SWEEP_INTERVAL_MS)
-  const pumpTimer = setInterval(dispatcher.pump, PUMP_INTERVAL_MS)
+  const dispatchTimer = setInterval(dispatcher.pump, DISPATCH_INTERVAL_MS)
   heartbeats.start()
   watch.start()
   nodeList.start()
@@ -179,7 +179,7 @@
       await Promise.race([closed, types.delay(BALANCER_GRACE_MS)])
     },
     stop: () => {
-      clearInterval(pumpTimer)
+      clearInterval(dispatchTimer)
       clearInterval(sweepTimer)
       heartbeats.stop()
       watch.stop()
--- a/packages/daemon/src/startGatewayRole/index.ts
+++ b/packages/daemon/src/startGatewayRole/index.ts
@@ -28,7 +28,7 @@
  *
  * @param checked - The validated settings.
  * @param environment - Clocks and log output; those of the process by default.
- * @returns The running role.
+ * @returns The running role. Rejects if an address for callers, for other daemons or for the readiness check cannot be bound.
  */
 export async function startGatewayRole (checked: settings.FleetSettings, environment?: createFleetParts.PartsEnvironment): Promise<fleetRole.FleetRole> {
   const parts = createFleetParts.createFleetParts(checked, environment)
@@ -56,7 +56,7 @@
     mayAskStore: () => startedExchange?.mayAskStore() ?? false,
     backEnds: parts.backEnds,
     book,
-    tell: (content, keptMs, ageMs) => { startedExchange?.facts.tell(content, keptMs, ageMs) },
+    tell: (content, ttlMs, ageMs) => { startedExchange?.facts.tell(content, ttlMs, ageMs) },
     probe: gateway.probeAddress,
     logger,
     count: metrics.count,
@@ -80,7 +80,7 @@
     parts,
     store: client,
     openDatagrams: spread.openDatagrams(checked.host, checked.internal_port),
-    fetchChanges: createFleetParts.fetchChanges(parts),
+    fetchChanges: createFleetParts.createChangesFetcher(parts),
     describeSelf: (isStoreLost) => createFleetParts.describeSelf(parts, { isLeaving, isStoreLost }),
     onHeartbeat: handleHeartbeat,
     onFact: (content, madeAt) => { if (!limiter.noteFact(content, madeAt)) callQuarantine.noteFact(content, madeAt) },
--- a/packages/daemon/src/startGatewayRole/rateLimits.test.ts
+++ b/packages/daemon/src/startGatewayRole/rateLimits.test.ts
@@ -1,5 +1,5 @@
 /**
- * Guards against exceeding the request rate that a back end names in its responses. The limit holds for the sum of what all gateways send, which none of them knows, so no gateway
+ * Guards against exceeding the request rate that a back end advertises in its responses. The limit holds for the sum of what all gateways send, which none of them knows, so no gateway
  * can keep it alone. When gateways ignored it, a back end with a limit of 1 a second got as many calls as its neighbours: 24 to 42 of 60 calls within four seconds from three gateways.
  */
 import * as assert from 'node:assert/strict'
@@ -23,7 +23,7 @@
   readonly other: testing.EngineStandIn
 }
 
-/** Starts gateways and two engines, one of which names a limit in its responses. */
+/** Starts gateways and two engines, one of which advertises a limit in its responses. */
 async function openLimitedFleet (context: nodeTest.TestContext, limit: string): Promise<LimitedFleet> {
   const fleet = await fleetTesting.openFleet(context)
   fleet.configure()
@@ -41,7 +41,7 @@
 }
 
 /** Sends calls to each gateway until one reaches the limited engine, so that the gateway sees the limit; gives up after {@link CALLS_PER_GATEWAY} calls. */
-async function untilLimitPassedOn ({ gateways, limited }: LimitedFleet): Promise<void> {
+async function waitUntilLimitSeen ({ gateways, limited }: LimitedFleet): Promise<void> {
   for (const [index, gateway] of gateways.entries()) {
     const before = limited.arrivals.length
     for (let attempt = 0; attempt < CALLS_PER_GATEWAY && limited.arrivals.length === before; attempt += 1) await send(gateway, `told-${index}-${attempt}`)
@@ -58,9 +58,9 @@
   return 6 * perSecond + 5
 }
 
-nodeTest.test('a back end that names a limit gets no more calls than that from all gateways together', async (context) => {
+nodeTest.test('a back end that advertises a limit gets no more calls than that from all gateways together', async (context) => {
   const fleet = await openLimitedFleet(context, '1')
-  await untilLimitPassedOn(fleet)
+  await waitUntilLimitSeen(fleet)
   const before = fleet.limited.arrivals.length
   const chains = fleet.gateways.map(async (gateway, index) => {
     const answers: testing.CallerAnswer[] = []
@@ -77,8 +77,8 @@
 nodeTest.test('calls that exceed the limits of all back ends are refused at once with a retry time, and are not run', async (context) => {
   const fleet = await openLimitedFleet(context, '1')
   fleet.other.limit.text = '1'
-  await untilLimitPassedOn(fleet)
-  await untilLimitPassedOn({ ...fleet, limited: fleet.other })
+  await waitUntilLimitSeen(fleet)
+  await waitUntilLimitSeen({ ...fleet, limited: fleet.other })
   const before = [fleet.limited, fleet.other].flatMap(({ arrivals }) => arrivals).length
   const answers: testing.CallerAnswer[] = []
   for (let call = 0; call < CALLS_PER_GATEWAY; call += 1) answers.push(await send(fleet.gateways[call % HOSTS.length] as types.Address, `call-${call}`))
@@ -90,9 +90,9 @@
   assert.equal([fleet.limited, fleet.other].flatMap(({ arrivals }) => arrivals).length - before, served.length)
 })
 
-nodeTest.test('a limit ends at all gateways when the back end stops naming it', async (context) => {
+nodeTest.test('a limit ends at all gateways when the back end stops advertising it', async (context) => {
   const fleet = await openLimitedFleet(context, '2')
-  await untilLimitPassedOn(fleet)
+  await waitUntilLimitSeen(fleet)
   fleet.limited.limit.text = null
   let sent = 0
   for (const gateway of fleet.gateways) {
