--- a/packages/daemon/src/_lib/callOracle.ts
+++ b/packages/daemon/src/_lib/callOracle.ts
@@ -8,7 +8,9 @@
   /** HTTP status; 0 if the connection ended without an answer. */
   readonly status: number
   readonly body: string
+  /** Whether the body arrived completely. */
   readonly isWhole: boolean
+  /** Header that identifies the engine that answered; null if it is absent. */
   readonly seal: string | null
 }
 
--- a/packages/daemon/src/createFleetExchange/size.test.ts
+++ b/packages/daemon/src/createFleetExchange/size.test.ts
@@ -25,7 +25,7 @@
 const LISTS_INTO_HALL = 5
 const LIST_BYTES = 600_000
 /** Other traffic between regions in the same time: heartbeats, changes of engines, copies. */
-const RETURN_BYTES = 400_000
+const OTHER_RESTART_BYTES = 400_000
 
 function createRandom (seed: number): () => number {
   let state = seed
@@ -112,7 +112,7 @@
   context.diagnostic(`${tookMs} ms; agents took in ${Math.round(Math.max(...agents) / 1000)} kB at most, daemons ${Math.round(Math.max(...received) / 1000)} kB; ${Math.round(crossed / 1000)} kB between regions; behind: ${listBehind(fleet, version).length}; agents without one: ${listUnconfigured(fleet).length}`)
   assert.ok(tookMs <= IN_FORCE_MS, `known after ${tookMs} ms`)
   assert.ok(Math.max(...agents) <= 600_000, `an agent took in ${Math.max(...agents)} bytes`)
-  assert.ok(crossed <= LISTS_INTO_HALL * (SITE_SHAPE.halls - 1) * LIST_BYTES + RETURN_BYTES, `${crossed} bytes between regions`)
+  assert.ok(crossed <= LISTS_INTO_HALL * (SITE_SHAPE.halls - 1) * LIST_BYTES + OTHER_RESTART_BYTES, `${crossed} bytes between regions`)
 })
 
 /** Traffic of an idle fleet, and of one change of its configuration. */
--- a/packages/daemon/src/createFleetExchange/suspended.test.ts
+++ b/packages/daemon/src/createFleetExchange/suspended.test.ts
@@ -12,7 +12,7 @@
 const MODEL = 'model-a'
 /** A resumed machine detects the lost time within this, from the datagrams of two other daemons. */
 const NOTICE_MS = 500
-const NAMED_BEFORE_MS = 1000
+const AFTER_ANNOUNCEMENT_MS = 1000
 const SUSPENDED_MS = 5000
 
 async function openFleet (context: nodeTest.TestContext, isStartKnown = true): Promise<simulatedFleet.SimulatedFleet> {
@@ -35,7 +35,7 @@
   const fleet = await openFleet(context)
   const [suspended, other] = fleet.gateways as [simulatedFleet.SimulatedDaemon, simulatedFleet.SimulatedDaemon]
   fleet.put('versions', MODEL, { model: MODEL, version: 2 })
-  await fleet.pass(NAMED_BEFORE_MS)
+  await fleet.pass(AFTER_ANNOUNCEMENT_MS)
   assert.ok(Math.abs(computeRemainingSendMs(suspended) - computeRemainingSendMs(other)) < NOTICE_MS)
   suspended.suspend()
   await fleet.pass(SUSPENDED_MS)
@@ -53,7 +53,7 @@
     await fleet.pass(SUSPENDED_MS)
     suspended.resume()
     fleet.put('versions', MODEL, { model: MODEL, version: 2 })
-    await fleet.pass(NAMED_BEFORE_MS)
+    await fleet.pass(AFTER_ANNOUNCEMENT_MS)
     const expectedMs = computeRemainingSendMs(other)
     context.diagnostic(`${Math.round(computeRemainingSendMs(suspended))} ms left, elsewhere ${Math.round(expectedMs)}`)
     assert.ok(Math.abs(computeRemainingSendMs(suspended) - expectedMs) < NOTICE_MS)
@@ -68,9 +68,9 @@
   adjusted.setTimeOfDay(SUSPENDED_MS)
   await fleet.pass(200)
   fleet.put('versions', MODEL, { model: MODEL, version: 2 })
-  await fleet.pass(NAMED_BEFORE_MS)
+  await fleet.pass(AFTER_ANNOUNCEMENT_MS)
   assert.ok(Math.abs(computeRemainingSendMs(adjusted) - computeRemainingSendMs(other)) < NOTICE_MS, `${computeRemainingSendMs(adjusted)} ms left, elsewhere ${computeRemainingSendMs(other)}`)
   adjusted.setTimeOfDay(-SUSPENDED_MS)
-  await fleet.pass(NAMED_BEFORE_MS)
+  await fleet.pass(AFTER_ANNOUNCEMENT_MS)
   assert.ok(Math.abs(computeRemainingSendMs(adjusted) - computeRemainingSendMs(other)) < NOTICE_MS)
 })
--- a/packages/daemon/src/createWatchDuty/test.ts
+++ b/packages/daemon/src/createWatchDuty/test.ts
@@ -12,7 +12,9 @@
 interface Hall {
   readonly duties: Map<string, createWatchDuty.WatchDuty>
   readonly ranked: readonly string[]
+  /** Nodes that cannot reach the store. */
   readonly withoutStore: Set<string>
+  /** Nodes that send no heartbeats. */
   readonly silent: Set<string>
   readonly advance: (milliseconds: number) => void
   /** Nodes that watch the store. */
--- a/packages/daemon/src/startAgentRole/index.ts
+++ b/packages/daemon/src/startAgentRole/index.ts
@@ -1,4 +1,4 @@
-/** The agent role: loads the requested weight versions into the engine on the same host, and reports the engine's load to gateways. */
+/** The agent role: loads the weight versions that operators announce into the engine on the same host, and reports the engine's load to gateways. */
 import * as nodeStream from 'node:stream'
 import type Koa from 'koa'
 import * as gateway from '@switchridge/gateway'
--- a/packages/daemon/src/startAgentRole/test.ts
+++ b/packages/daemon/src/startAgentRole/test.ts
@@ -34,7 +34,7 @@
   for (let piece = 0; piece < PIECES; piece += 1) engine.stage.set(piece, fleet.origin.pieceOf(version, piece))
 }
 
-function nameVersion (fleet: fleetTesting.TestFleet, version: number): void {
+function announceVersion (fleet: fleetTesting.TestFleet, version: number): void {
   fleet.store.put('versions', fleetTesting.MODEL, { model: fleetTesting.MODEL, version })
 }
 
@@ -43,9 +43,9 @@
   for (const engine of engines) assert.ok(engine.orders.every((order) => order > 0), `${engine.id} took ${engine.orders.join()}`)
 }
 
-nodeTest.test('every engine gets a requested version completely, and the origin sends at most two copies', async (context) => {
+nodeTest.test('every engine gets an announced version completely, and the origin sends at most two copies', async (context) => {
   const { fleet, engines } = await openAgents(context, [1, 1, 1])
-  nameVersion(fleet, 2)
+  announceVersion(fleet, 2)
   await fleetTesting.until(() => engines.every((engine) => engine.version() === 2))
   assertWholeOrders(engines)
   assert.ok(fleet.origin.sent() <= 2 * PIECES, `${fleet.origin.sent()} pieces`)
@@ -61,7 +61,7 @@
   const { fleet, engines } = await openAgents(context, [1, 1])
   fleet.origin.faults.spoilManifests = 1
   fleet.origin.faults.spoilPieces = 3
-  nameVersion(fleet, 2)
+  announceVersion(fleet, 2)
   await fleetTesting.until(() => engines.every((engine) => engine.version() === 2))
   assertWholeOrders(engines)
 })
@@ -75,7 +75,7 @@
     spoilt += piece === 3 ? 1 : 0
     return put(piece, piece === 3 && spoilt === 1 ? Buffer.from('spoilt') : bytes)
   }
-  nameVersion(fleet, 2)
+  announceVersion(fleet, 2)
   await fleetTesting.until(() => engine.version() === 2)
   assertWholeOrders(engines)
 })
@@ -90,8 +90,8 @@
 
 nodeTest.test('after two version changes in quick succession every engine runs the newer version', async (context) => {
   const { fleet, engines } = await openAgents(context, [1, 1, 1])
-  nameVersion(fleet, 2)
-  nameVersion(fleet, 3)
+  announceVersion(fleet, 2)
+  announceVersion(fleet, 3)
   await fleetTesting.until(() => engines.every((engine) => engine.version() === 3))
   assertWholeOrders(engines)
 })
--- a/packages/daemon/src/startEntryRole/lethal.test.ts
+++ b/packages/daemon/src/startEntryRole/lethal.test.ts
@@ -26,7 +26,7 @@
   readonly entries: string[]
   readonly countEnded: () => number
   /** Waits until every entry node knows of each back end that has ended; before that, an entry node may still forward a lethal call. */
-  readonly untilEndsKnown: () => Promise<void>
+  readonly waitForKnownEnds: () => Promise<void>
   readonly ask: (entry: string, path: string) => Promise<Answer>
   /** Stops an entry node without draining and starts it again; returns its base URL once it is healthy and knows a blocked call. */
   readonly restartEntry: (index: number) => Promise<string>
@@ -37,6 +37,7 @@
 interface Answer {
   readonly status: number
   readonly reason: string
+  /** Value of the `retry-after` header in seconds; NaN if it is absent. */
   readonly retryAfter: number
 }
 
@@ -114,7 +115,7 @@
     entries,
     ask,
     countEnded: () => endedCount,
-    untilEndsKnown: async () => { await waitUntil(async () => (await Promise.all(started.map(async (role) => await readCount(role, 'quarantine.ends')))).every((known) => known === endedCount)) },
+    waitForKnownEnds: async () => { await waitUntil(async () => (await Promise.all(started.map(async (role) => await readCount(role, 'quarantine.ends')))).every((known) => known === endedCount)) },
     restartEntry: async (index) => {
       const role = started[index] as startDaemon.RunningRole
       roles.splice(roles.indexOf(role), 1)
@@ -132,11 +133,11 @@
 }
 
 nodeTest.test('a call that ended three plain back ends is refused by every entry node, and other calls are served', async (context) => {
-  const { entries, ask, countEnded, untilEndsKnown } = await openHall(context, 2)
+  const { entries, ask, countEnded, waitForKnownEnds } = await openHall(context, 2)
   const answers: Answer[] = []
   for (let index = 0; index < 6; index += 1) {
     answers.push(await ask(entries[index % 2] as string, LETHAL_PATH))
-    await untilEndsKnown()
+    await waitForKnownEnds()
     assert.equal((await ask(entries[(index + 1) % 2] as string, '/other')).status, OK)
   }
   assert.equal(countEnded(), BLOCK_THRESHOLD)
--- a/packages/daemon/src/startGatewayRole/fuzz.test.ts
+++ b/packages/daemon/src/startGatewayRole/fuzz.test.ts
@@ -24,6 +24,7 @@
   | { readonly step: 'limit', readonly engine: number, readonly text: string | null }
   /** An engine is stopped and replaced by a new instance. */
   | { readonly step: 'replace', readonly engine: number }
+  /** Waits for the answers to all calls so far. */
   | { readonly step: 'settle' }
 
 const stepArbitrary: fastCheck.Arbitrary<Step> = fastCheck.oneof(
--- a/packages/daemon/src/startGatewayRole/rateLimits.test.ts
+++ b/packages/daemon/src/startGatewayRole/rateLimits.test.ts
@@ -70,7 +70,7 @@
   const answers = (await Promise.all(chains)).flat()
   const arrivals = fleet.limited.arrivals.slice(before)
   context.diagnostic(`${arrivals.length} of ${answers.length} calls`)
-  assert.ok(countPeakArrivals(arrivals, WINDOW_MS) <= computeAllowed(1), `${countPeakArrivals(arrivals, WINDOW_MS)} in some four seconds, ${computeAllowed(1)} allowed`)
+  assert.ok(countPeakArrivals(arrivals, WINDOW_MS) <= computeAllowed(1), `${countPeakArrivals(arrivals, WINDOW_MS)} within four seconds, ${computeAllowed(1)} allowed`)
   assert.deepEqual(answers.filter(({ status }) => status !== OK), [])
 })
 
