--- a/packages/membership/src/computeReportTargets/index.ts
+++ b/packages/membership/src/computeReportTargets/index.ts
@@ -43,7 +43,7 @@
  *
  * @param self - The daemon.
  * @param members - All known members.
- * @returns Some hubs of the daemon's own hall; for a hub, all other hubs of its hall and one hub of every other hall.
+ * @returns Up to two hubs of the daemon's own hall; for a hub, all other hubs of its hall and one hub of every other hall.
  */
 export function computeReportTargets (self: types.MemberFacts, members: readonly createMemberView.Member[]): types.MemberFacts[] {
   const hubs = computeHubs(self.dataHall, members)
@@ -57,13 +57,14 @@
 /** The heartbeat interval grows with the hall by this many milliseconds for each member, so that the traffic of a hub stays bounded. */
 const INTERVAL_PER_MEMBER_MS = 40
 const MAXIMUM_INTERVAL_MS = 8000
+/** Heartbeat intervals for which a member may be silent and still count as live. */
 const SILENCE_LIMIT_INTERVALS = 3.2
 
 /**
  * Computes the heartbeat interval of a hall.
  *
  * @param hallMembers - Members of the hall that are not gone.
- * @returns Milliseconds.
+ * @returns Milliseconds, from {@link types.HEARTBEAT_INTERVAL_MS} to 8000.
  */
 export function computeInterval (hallMembers: number): number {
   return Math.min(MAXIMUM_INTERVAL_MS, Math.max(types.HEARTBEAT_INTERVAL_MS, INTERVAL_PER_MEMBER_MS * hallMembers))
--- a/packages/membership/src/createMemberView/index.ts
+++ b/packages/membership/src/createMemberView/index.ts
@@ -42,11 +42,11 @@
 export interface MemberViewOptions {
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
-  /** Returns the milliseconds of silence after which a member is no longer live; called at each refresh. */
+  /** Returns the milliseconds of silence after which a member is no longer live; called at each refresh. {@link types.HEARTBEAT_TIMEOUT_MS} by default. */
   readonly silenceLimit?: () => number
-  /** Milliseconds of silence after which a single node is gone. */
+  /** Milliseconds of silence after which a single node is gone; {@link types.PLACEMENT_HOLD_MS} by default. */
   readonly nodeHoldMs?: number
-  /** The same for the members of a data hall that is silent as a whole, since it may only be cut off. */
+  /** The same for the members of a data hall that is silent as a whole, since it may only be cut off; {@link HALL_HOLD_MS} by default. */
   readonly hallHoldMs?: number
 }
 
@@ -56,6 +56,7 @@
   readonly hear: (facts: types.MemberFacts) => void
   /** Applies the claims of an entry node about other members. */
   readonly applyClaims: (relay: types.NodeId, claims: readonly MemberClaim[]) => void
+  /** Replaces the nodes that the platform's list marks as leaving. A node that the list lacks keeps its condition. */
   readonly applyNodeList: (nodes: readonly ListedNode[]) => void
   /** Sets the nodes that the table takes out of service. */
   readonly applyLeavingRows: (nodes: readonly types.NodeId[]) => void
@@ -63,22 +64,27 @@
   readonly refresh: () => void
   readonly members: () => readonly Member[]
   readonly find: (node: types.NodeId) => Member | undefined
+  /** Returns the claims in a scope that changed after a counter value; 0 returns all. */
   readonly changesSince: (counter: number, scope: ClaimScope) => ClaimChanges
 }
 
+/** Default time in milliseconds after which the members of a data hall that is silent as a whole are gone. */
 export const HALL_HOLD_MS = 300_000
-/** A gone member is removed from the view after this many further milliseconds. */
-const FORGET_AFTER_MS = 600_000
+/** A gone member is removed from the view when it was silent for the hold time of a hall and this many further milliseconds. */
+const REMOVAL_DELAY_MS = 600_000
 
 interface Entry {
   facts: types.MemberFacts
+  /** Monotonic time in milliseconds of the last heartbeat from the member itself; null if none was received. */
   heardAt: number | null
+  /** Condition as last reported by each relaying entry node. */
   readonly relayedConditions: Map<types.NodeId, MemberCondition>
   /** Whether the last relay reported the node as leaving by the node list. */
   relayedLeaving: boolean
   condition: MemberCondition
   silentSince: number | null
-  changedAt: number
+  /** Counter value of the last change. */
+  changeCounter: number
 }
 
 function isInScope (entry: Entry, scope: ClaimScope): boolean {
@@ -105,14 +111,14 @@
   function upsert (facts: types.MemberFacts): Entry {
     const known = entries.get(facts.node)
     if (known === undefined) {
-      const entry: Entry = { facts, heardAt: null, relayedConditions: new Map(), relayedLeaving: false, condition: 'silent', silentSince: options.now(), changedAt: ++counter }
+      const entry: Entry = { facts, heardAt: null, relayedConditions: new Map(), relayedLeaving: false, condition: 'silent', silentSince: options.now(), changeCounter: ++counter }
       entries.set(facts.node, entry)
       return entry
     }
     if (types.isNewerFacts(facts, known.facts)) {
       if (facts.incarnation !== known.facts.incarnation) known.relayedLeaving = false
       known.facts = facts
-      known.changedAt = ++counter
+      known.changeCounter = ++counter
     }
     return known
   }
@@ -128,7 +134,7 @@
     for (const claim of claims) {
       const entry = upsert(claim.facts)
       entry.relayedConditions.set(relay, claim.condition)
-      if (entry.relayedLeaving !== claim.leaving) entry.changedAt = ++counter
+      if (entry.relayedLeaving !== claim.leaving) entry.changeCounter = ++counter
       entry.relayedLeaving = claim.leaving
       setCondition(entry, computeCondition(entry))
     }
@@ -139,7 +145,7 @@
     else entry.silentSince ??= options.now()
     if (entry.condition === condition) return
     entry.condition = condition
-    entry.changedAt = ++counter
+    entry.changeCounter = ++counter
   }
 
   function isHeardRecently (entry: Entry | undefined): boolean {
@@ -160,7 +166,7 @@
     return trusted.some(([, condition]) => condition === 'live')
   }
 
-  /** Whether any entry node that could report the member is heard; if there is none, the last claims stay valid. */
+  /** Tells whether any other entry node was heard recently; if none was, the last claims stay valid. */
   function hasFreshRelay (entry: Entry): boolean {
     for (const other of entries.values()) {
       if (other.facts.role === 'entry' && other !== entry && isHeardRecently(other)) return true
@@ -179,14 +185,14 @@
     silenceLimitMs = options.silenceLimit?.() ?? silenceLimitMs
     for (const [node, entry] of entries) {
       setCondition(entry, computeCondition(entry))
-      const forgotten = entry.condition === 'gone' && options.now() - (entry.silentSince ?? 0) > hallHoldMs + FORGET_AFTER_MS
-      if (forgotten) entries.delete(node)
+      const isExpired = entry.condition === 'gone' && options.now() - (entry.silentSince ?? 0) > hallHoldMs + REMOVAL_DELAY_MS
+      if (isExpired) entries.delete(node)
     }
   }
 
   function applyNodeList (nodes: readonly ListedNode[]): void {
     const leavingNodes = new Set(nodes.filter((node) => node.state === 'leaving').map((node) => node.node))
-    for (const [node, entry] of entries) if (leavingNodes.has(node) !== listedLeaving.has(node)) entry.changedAt = ++counter
+    for (const [node, entry] of entries) if (leavingNodes.has(node) !== listedLeaving.has(node)) entry.changeCounter = ++counter
     listedLeaving = leavingNodes
   }
 
@@ -197,7 +203,7 @@
 
   function changesSince (since: number, scope: ClaimScope): ClaimChanges {
     const claims = [...entries.values()]
-      .filter((entry) => entry.changedAt > since && isInScope(entry, scope))
+      .filter((entry) => entry.changeCounter > since && isInScope(entry, scope))
       .map((entry): MemberClaim => ({
         facts: entry.facts,
         condition: scope === 'first-hand' && !isHeardRecently(entry) ? 'silent' : entry.condition,
--- a/packages/membership/src/rankByRendezvous/index.ts
+++ b/packages/membership/src/rankByRendezvous/index.ts
@@ -8,7 +8,7 @@
 /**
  * Ranks items for a key.
  *
- * @param key - What the items are ranked for.
+ * @param key - Identifies the ranking; different keys give independent orders.
  * @param items - The items.
  * @param idOf - Returns the unique id of an item.
  * @returns The items, the highest score first.
--- a/packages/placement/src/computePlacement/index.ts
+++ b/packages/placement/src/computePlacement/index.ts
@@ -7,7 +7,7 @@
 export interface Assignment {
   readonly node: types.NodeId
   readonly row: types.ModelRow
-  /** Position among the node's copies; lower ones are transferred first. */
+  /** Position among the node's copies, from 0; lower ones are transferred first. */
   readonly order: number
   readonly reason: string
 }
@@ -32,6 +32,7 @@
   copies: number
 }
 
+/** The nodes chosen for a row with the reason for each, and the number of copies wanted. */
 interface Selection {
   readonly chosen: ReadonlyMap<Candidate, string>
   readonly wanted: number
@@ -86,6 +87,7 @@
   return assignments.some((assignment) => assignment.node === candidate.facts.node && assignment.row.id === row.base)
 }
 
+/** Selects the nodes of a row. Invalid targets give a shortfall of one copy. */
 function selectForRow (row: types.ModelRow, eligible: readonly Candidate[]): Selection {
   const targets = parseTargets.parseTargets(row.targets)
   if (!targets.ok) return { chosen: new Map(), wanted: 1 }
@@ -114,10 +116,11 @@
 /** Orders nodes round-robin over the data halls, so that losing a hall removes as few of the chosen copies as possible. */
 function interleaveHalls (key: string, pool: readonly Candidate[]): Candidate[] {
   const ranked = membership.rankByRendezvous(key, pool, (candidate) => candidate.facts.node)
-  const takenByHall = new Map<types.DataHallId, number>()
+  const nextRoundOfHall = new Map<types.DataHallId, number>()
+  // A node's round is the number of nodes of its hall that rank before it.
   const withRounds = ranked.map((candidate) => {
-    const round = takenByHall.get(candidate.facts.dataHall) ?? 0
-    takenByHall.set(candidate.facts.dataHall, round + 1)
+    const round = nextRoundOfHall.get(candidate.facts.dataHall) ?? 0
+    nextRoundOfHall.set(candidate.facts.dataHall, round + 1)
     return { candidate, round }
   })
   return withRounds.sort((left, right) => left.round - right.round).map(({ candidate }) => candidate)
--- a/packages/placement/src/mayLeaveVersion/index.ts
+++ b/packages/placement/src/mayLeaveVersion/index.ts
@@ -3,14 +3,14 @@
 import * as membership from '@switchridge/membership'
 
 /**
- * Returns whether a node that has no memory for both versions may stop serving the old one now.
+ * Tells whether a node that has no memory for both versions may stop serving the old one now.
  *
  * Only as many of the live replicas may stop as exceed `minimumServing`; rendezvous hashing decides which of the outdated ones go first.
  *
  * @param row - The row that is being updated.
  * @param node - The node that wants to stop serving.
  * @param members - The known members.
- * @returns True if enough replicas keep serving the row.
+ * @returns True if enough replicas keep serving the row, or if the node is no live replica of another version.
  */
 export function mayLeaveVersion (row: types.ModelRow, node: types.NodeId, members: readonly membership.Member[]): boolean {
   const replicas = members.filter((member) => member.condition === 'live' && !member.leaving && servesRow(member, row.id))
--- a/packages/spread/src/_lib/createChangeBroadcaster.ts
+++ b/packages/spread/src/_lib/createChangeBroadcaster.ts
@@ -17,15 +17,15 @@
   readonly now: () => number
 }
 
-/** Changes of copies within this time are announced together. */
+/** Minimum time within which changes of copies are announced together; a relay needs longer to stay within the bytes for immediate messages. */
 const CHANGE_MERGE_MS = 100
-/** Size of a datagram about a change. */
+/** Bytes of a datagram that announces a change. */
 const CHANGE_BYTES = 175
 /** A change is sent with the versions that were announced within this time; older ones came with heartbeats. */
 const RECENT_VERSION_MS = 2500
 /** A gateway that is no relay waits for so long beyond the relays' merge time, in case others announce the same change. */
 const CHANGE_WAIT_MS = 150
-/** Members that announce a change at least. */
+/** Members of a hall that announce a change before a gateway that is no relay omits its own announcement. */
 const CHANGE_BROADCASTERS = 2
 const MS_IN_SECOND = 1000
 
@@ -38,8 +38,8 @@
 export function createChangeBroadcaster (options: ChangeBroadcasterOptions): () => void {
   const { getView, now } = options
   let lastBroadcastAt = -Infinity
-  let broadcastCopies: heartbeats.CopyStates = {}
-  let announcedCopies: heartbeats.CopyStates = {}
+  let lastBroadcastCopies: heartbeats.CopyStates = {}
+  let previousCopies: heartbeats.CopyStates = {}
   let isWaiting = false
 
   function announceChange (): void {
@@ -48,8 +48,8 @@
     const mergeMs = Math.max(CHANGE_MERGE_MS, (relays.FAN_OUT + 1 + halls.length) * CHANGE_BYTES * MS_IN_SECOND / rates.IMMEDIATE_BYTES_PER_SECOND)
     const waitMs = rank >= 0 ? lastBroadcastAt + mergeMs - now() : mergeMs + CHANGE_WAIT_MS
     const { copies } = options.describeSelf()
-    const changed = hallCopies.selectChanged(announcedCopies, copies)
-    announcedCopies = copies
+    const changed = hallCopies.selectChanged(previousCopies, copies)
+    previousCopies = copies
     isWaiting = waitMs > 0
     if (isWaiting) options.schedule(waitMs, () => { broadcastChange(changed) })
     else broadcastChange(changed)
@@ -64,8 +64,8 @@
     const broadcasters = near.filter(({ heartbeat }) => !hallCopies.hasNewerCopies(pendingChange, hallCopies.collectCopies([heartbeat]))).length
     if (rank < 0 && broadcasters >= CHANGE_BROADCASTERS) return
     lastBroadcastAt = now()
-    const copies = hallCopies.selectChanged(broadcastCopies, self.copies)
-    broadcastCopies = self.copies
+    const copies = hallCopies.selectChanged(lastBroadcastCopies, self.copies)
+    lastBroadcastCopies = self.copies
     options.broadcast({
       zone: self.zone,
       copies: hallCopies.collectCopies([{ ...self, copies }]),
--- a/packages/spread/src/_lib/createDelayEstimator.test.ts
+++ b/packages/spread/src/_lib/createDelayEstimator.test.ts
@@ -1,9 +1,9 @@
 /**
  * Guards against a restarted sender whose first datagram counts as delayed by its whole first run. A gateway of another hall had received a single
  * datagram of the first run, 0.3 s after its start, and then one of the second run, 0.1 s after its start. The sender's clock had hardly gone
- * back, so the datagram seemed to be in transit for the 38.6 s of the first run; the version that it named counted as 38.6 s old on all
- * daemons, and all gateways refused all calls for 5 s, 0.4 s after the version was announced, although engines held the previous version and 8 s
- * were allowed.
+ * back, so the datagram seemed to be in transit for the 38.6 s of the first run, and the version in it counted as 38.6 s old on all daemons.
+ * From 0.4 s after the version was announced, all gateways refused all calls for 5 s, although engines held the previous version and the change
+ * was allowed to take 8 s.
  */
 import * as assert from 'node:assert/strict'
 import * as nodeTest from 'node:test'
@@ -11,7 +11,7 @@
 
 const HOST = '10.1.0.4'
 const FIRST_RUN_MS = 38_600
-/** Time of the receiver's clock at the start of the first run. */
+/** Time of the receiver's clock, in milliseconds, at the start of the first run. */
 const STARTED_AT = 5000
 
 nodeTest.test('the first datagram after a restart is not delayed, although only the first datagram before it was received', () => {
@@ -21,7 +21,7 @@
   assert.deepEqual(measureDelay(HOST, 400, STARTED_AT + FIRST_RUN_MS + 420), { delayMs: 20, isRestarted: false })
 })
 
-nodeTest.test('a datagram without a restart that was in transit for seconds is delayed by them', () => {
+nodeTest.test('a datagram of the same run that was in transit for seconds is delayed by them', () => {
   const { measure: measureDelay } = createDelayEstimator.createDelayEstimator()
   measureDelay(HOST, 300, STARTED_AT + 300)
   assert.deepEqual(measureDelay(HOST, 60_000, STARTED_AT + 67_300), { delayMs: 7300, isRestarted: false })
--- a/packages/spread/src/_lib/createDelayEstimator.ts
+++ b/packages/spread/src/_lib/createDelayEstimator.ts
@@ -1,11 +1,11 @@
 /** Estimates how much longer a datagram was in transit than the fastest one of its sender, as behind a full link. */
 
 interface ClockDifference {
-  readonly difference: number
+  readonly differenceMs: number
   readonly sentAt: number
 }
 
-/** The transit of a datagram. */
+/** Delay of a datagram, in milliseconds beyond the fastest one of its sender. */
 export interface Delay {
   readonly delayMs: number
   /** Whether the sender was known and has restarted since. */
@@ -15,17 +15,17 @@
 /** A sender whose clock went back by more has restarted; less may be two datagrams that arrived out of order. */
 const RESTART_CLOCK_DROP_MS = 1000
 /**
- * No datagram is in transit, or lies at a frozen receiver, for longer; one that seems to be was sent by a restarted daemon, whose clock begins
- * anew. Without this limit, a receiver that had heard only the first datagram before a restart takes the first one after it for delayed
- * by the whole run in between, and the versions that it names for as old.
+ * No datagram is in transit, or unread at a frozen receiver, for longer; one that seems to be was sent by a restarted daemon, whose clock starts
+ * again. Without this limit, a receiver that got only the first datagram of one run would count the first datagram of the next run as delayed by
+ * the whole run in between, and the versions in it as that old.
  */
 const MAXIMUM_DELAY_MS = 10_000
 
 /** Compares the clocks of senders with the own clock. */
 export interface DelayEstimator {
-  /** Returns the delay of a datagram, from its sender, the sender's clock at sending and the own clock. */
+  /** Returns the delay of a datagram, from its sender, the sender's clock at sending and the own clock, both in milliseconds. */
   readonly measure: (host: string, sentAt: number, now: number) => Delay
-  /** Returns by how much the sender's clock is ahead of what was known of it, or null if nothing was known. Records nothing. */
+  /** Returns by how many milliseconds the sender's clock is ahead of its known difference, or null if none is known. Records nothing. */
   readonly compareClock: (host: string, sentAt: number, now: number) => number | null
 }
 
@@ -39,16 +39,16 @@
   return {
     compareClock: (host, sentAt, now) => {
       const known = smallestDifferences.get(host)
-      return known === undefined ? null : known.difference - (now - sentAt)
+      return known === undefined ? null : known.differenceMs - (now - sentAt)
     },
     measure: (host, sentAt, now) => {
-      const difference = now - sentAt
+      const differenceMs = now - sentAt
       const known = smallestDifferences.get(host)
-      const isRestarted = known !== undefined && (sentAt < known.sentAt - RESTART_CLOCK_DROP_MS || difference - known.difference > MAXIMUM_DELAY_MS)
+      const isRestarted = known !== undefined && (sentAt < known.sentAt - RESTART_CLOCK_DROP_MS || differenceMs - known.differenceMs > MAXIMUM_DELAY_MS)
       const isFirst = known === undefined || isRestarted
-      const base = isFirst ? difference : Math.min(known.difference, difference)
-      smallestDifferences.set(host, { difference: base, sentAt: isFirst ? sentAt : Math.max(sentAt, known.sentAt) })
-      return { delayMs: difference - base, isRestarted }
+      const smallestMs = isFirst ? differenceMs : Math.min(known.differenceMs, differenceMs)
+      smallestDifferences.set(host, { differenceMs: smallestMs, sentAt: isFirst ? sentAt : Math.max(sentAt, known.sentAt) })
+      return { delayMs: differenceMs - smallestMs, isRestarted }
     }
   }
 }
--- a/packages/spread/src/_lib/createDiscovery.ts
+++ b/packages/spread/src/_lib/createDiscovery.ts
@@ -14,16 +14,17 @@
 /** Discovers other daemons. */
 export interface Discovery {
   readonly addHosts: (hosts: readonly string[]) => void
-  /** Contacts the hosts that are due. `isAlone`: no daemon is known; `lost`: returns hosts of halls that became silent. */
-  readonly tick: (isAlone: boolean, lost: () => readonly string[]) => void
+  /** Contacts the hosts that are due. `isAlone`: no daemon is known; `listLost`: returns hosts of halls that became silent. */
+  readonly tick: (isAlone: boolean, listLost: () => readonly string[]) => void
 }
 
-/** A daemon that knows no other one can do nothing yet, so it contacts its seeds more often. */
+/** Time between two rounds of contacts of a daemon that knows no other one; such a daemon can do nothing yet, so they are frequent. */
 const ALONE_CONTACT_MS = 125
-/** Hosts contacted at a time by a daemon that knows no other one; seeds are only a few. */
+/** Hosts contacted in a round by a daemon that knows no other one; seeds are only a few. */
 const ALONE_CONTACTS = 16
+/** Time between two rounds of contacts otherwise. */
 const CONTACT_MS = 1000
-/** Hosts contacted at a time otherwise: half a kilobyte a second, however many hosts are silent. */
+/** Hosts contacted in a round otherwise: half a kilobyte a second, however many hosts are silent. */
 const CONTACTS = 2
 /** A host that a peer names again is not contacted again within this time. */
 const REPEAT_CONTACT_MS = 500
@@ -36,7 +37,7 @@
   const learnedAt = new Map<string, number>()
   const contactedAt = new Map<string, number>()
   let lastTickAt = -Infinity
-  let turn = 0
+  let nextContact = 0
 
   function contactHost (host: string): void {
     contactedAt.set(host, options.now())
@@ -58,13 +59,13 @@
         if (options.now() - (contactedAt.get(host) ?? -Infinity) >= REPEAT_CONTACT_MS) contactHost(host)
       }
     },
-    tick: (isAlone, lost) => {
+    tick: (isAlone, listLost) => {
       if (options.now() - lastTickAt < (isAlone ? ALONE_CONTACT_MS : CONTACT_MS)) return
       lastTickAt = options.now()
-      const unanswered = listUnanswered(lost())
+      const unanswered = listUnanswered(listLost())
       const count = Math.min(unanswered.length, isAlone ? ALONE_CONTACTS : CONTACTS)
-      for (let at = 0; at < count; at += 1) contactHost(unanswered[(turn + at) % unanswered.length] as string)
-      turn += count
+      for (let at = 0; at < count; at += 1) contactHost(unanswered[(nextContact + at) % unanswered.length] as string)
+      nextContact += count
     }
   }
 }
--- a/packages/spread/src/_lib/createHallRelay.ts
+++ b/packages/spread/src/_lib/createHallRelay.ts
@@ -41,10 +41,11 @@
   readonly collectOwnCopies: () => wire.HallCopies
 }
 
-/** Urgent changes of several members, such as pauses and suspicions, that reach a relay within this time go to other halls together. */
+/** Urgent changes of several members, such as paused engines and suspected peers, that reach a relay within this time go to other halls together. */
 const RELAY_MERGE_MS = 15
-/** New members of a hall are announced to other halls together; for some time after them, all digests go to agents too. */
+/** New members of a hall within this time are announced to other halls together. */
 const NEW_MEMBER_MERGE_MS = 100
+/** For this time after a new member, agents get the digests of both relays. */
 const NEW_MEMBER_MS = 3000
 /** A round begins at a tick, late by up to this time, which does not delay the next one. After a longer gap the schedule restarts. */
 const ROUND_LATENESS_MS = 25
@@ -71,16 +72,16 @@
   /** Forwards a digest; the member that it reaches first leaves the whole hall to one other member, so that relays send less. */
   function forwardDigest (header: wire.DigestHeader, delayMs: number, body: string, hasNews: boolean): void {
     if (header.audience === 'nobody' || (header.range === null && !hasNews)) return
-    const circle = listAudienceHosts(header.audience)
-    if (header.range === null) forwardTo(rotateStart(circle), { ...header, ingressHost: ownHost }, delayMs, body, 1)
-    else forwardTo(relays.selectRange(circle, header.range).filter((host) => host !== header.ingressHost), header, delayMs, body)
+    const audienceHosts = listAudienceHosts(header.audience)
+    if (header.range === null) forwardTo(rotateStart(audienceHosts), { ...header, ingressHost: ownHost }, delayMs, body, 1)
+    else forwardTo(relays.selectRange(audienceHosts, header.range).filter((host) => host !== header.ingressHost), header, delayMs, body)
   }
 
   /** Starts at a different member each time, so that all take turns in forwarding, whichever parts of a round this relay receives. */
-  function rotateStart (circle: readonly string[]): string[] {
+  function rotateStart (sorted: readonly string[]): string[] {
     turn += 1
-    const start = Math.floor(hashes.computeEvenFraction(turn) * circle.length)
-    return [...circle.slice(start), ...circle.slice(0, start)]
+    const start = Math.floor(hashes.computeEvenFraction(turn) * sorted.length)
+    return [...sorted.slice(start), ...sorted.slice(0, start)]
   }
 
   function forwardTo (hosts: readonly string[], { audience, ingressHost }: Pick<wire.DigestHeader, 'audience' | 'ingressHost'>, delayMs: number, body: string, fanOut?: number): void {
@@ -99,7 +100,7 @@
     if (newHalls.length > 0 || halls.length !== knownHalls.size) knownHalls = new Set(halls.map(({ zone }) => zone))
   }
 
-  /** Each of the two relays sends every second digest, its datagrams distributed over the interval; agents get those of the first relay. */
+  /** Sends one digest to all halls, its datagrams distributed over the interval. The two relays take turns; agents get the digests of the first one. */
   function sendDigestRound (rank: number): void {
     const { intervals, candidates } = getView()
     nextDigestRoundAt = Math.max(nextDigestRoundAt, now() - ROUND_LATENESS_MS) + relays.RELAYS_PER_HALL * intervals.digestMs
@@ -131,7 +132,7 @@
     return { host, delayMs, engine, ageMs: now() - (engine === null ? heardAt : reportedAt) }
   }
 
-  function describeHosts (hosts: readonly string[], includesHall: boolean): wire.HallDigest {
+  function describeHosts (hosts: readonly string[], includesHallState: boolean): wire.HallDigest {
     const self = options.describeSelf()
     const members = hosts.flatMap((host): wire.DigestMember[] => {
       if (host === ownHost) return [{ heartbeat: self, ageMs: 0, delayMs: 0 }]
@@ -140,7 +141,7 @@
       const { heartbeat, heardAt, reportedAt, delayMs } = member
       return [{ heartbeat, delayMs, ageMs: now() - (heartbeat.engine === null ? heardAt : reportedAt) }]
     })
-    return { zone: self.zone, members, copies: includesHall ? collectOwnCopies() : {}, versions: includesHall ? self.versions : [] }
+    return { zone: self.zone, members, copies: includesHallState ? collectOwnCopies() : {}, versions: includesHallState ? self.versions : [] }
   }
 
   function collectOwnCopies (): wire.HallCopies {
--- a/packages/spread/src/_lib/createHostExchange.ts
+++ b/packages/spread/src/_lib/createHostExchange.ts
@@ -21,7 +21,7 @@
   readonly sendHostsThrottled: (peer: heartbeats.Heartbeat, to: string) => void
 }
 
-/** Shortest time between two such messages to peers that already know some members. */
+/** Shortest time between two throttled sends, whichever peers they go to. */
 const THROTTLE_MS = 250
 
 /**
--- a/packages/spread/src/_lib/createMemberExpiry.ts
+++ b/packages/spread/src/_lib/createMemberExpiry.ts
@@ -8,7 +8,7 @@
 export interface MemberExpiryOptions {
   readonly table: memberTable.MemberTable
   readonly ownZone: string
-  /** Whether any member of a hall is live. */
+  /** Tells whether a hall is this daemon's own or has a live member. */
   readonly isHallKnown: (zone: string) => boolean
   readonly onExpired: (host: string) => void
   /** Monotonic clock in milliseconds. */
@@ -23,9 +23,9 @@
   readonly listHostsToRetry: () => string[]
 }
 
-/** A peer that was silent for so long is removed. */
+/** Silence in milliseconds after which a peer is removed. */
 export const PEER_EXPIRY_MS = 60_000
-/** Where the silence limit of live peers is longer, peers are removed after this many times that limit. */
+/** Where this many times the silence limit of live peers is longer, it replaces {@link PEER_EXPIRY_MS}. */
 const EXPIRY_FACTOR = 3
 const CHECK_MS = 1000
 
--- a/packages/spread/src/_lib/createPeriodicBroadcaster.ts
+++ b/packages/spread/src/_lib/createPeriodicBroadcaster.ts
@@ -31,15 +31,15 @@
   readonly forget: (host: string) => void
 }
 
-/** Time between two checks for due datagrams on relays and their standbys, whose rounds determine how fast others learn. */
+/** Time between two checks for due datagrams on relays and their standbys, whose rounds determine how fast other members learn of changes. */
 export const CANDIDATE_TICK_MS = 25
 /** Heartbeats are a second apart or more, so they are checked less often. */
 const HEARTBEAT_CHECK_MS = 100
 /** Time between two keepalives among relays and their standbys. */
 const RELAY_KEEPALIVE_MS = 330
-/** Listeners beyond the candidates get every second keepalive, which is within the 1.05 s after which they take a candidate for silent. */
+/** Listeners beyond the candidates get every second keepalive, one every 660 ms, which is within the time after which they count a candidate as silent. */
 const LISTENER_KEEPALIVE_FACTOR = 2
-/** Silent peers get heartbeats at longer intervals. */
+/** Factor by which heartbeats to silent peers are further apart. */
 const SILENT_PEER_FACTOR = 1.5
 
 /**
@@ -57,7 +57,7 @@
   const awaitingPhase = new Set<string>()
   let heartbeatCheckedAt = -Infinity
   let relayKeepaliveAt = -Infinity
-  let relayKeepalives = 0
+  let relayKeepaliveCount = 0
   let announcedStoreLost = initialStoreLost
 
   function isDue (since: number | undefined, intervalMs: number): boolean {
@@ -133,8 +133,8 @@
     if (!options.isRelayCandidate() || !isDue(relayKeepaliveAt, RELAY_KEEPALIVE_MS)) return
     const { candidates, listeners } = getView()
     relayKeepaliveAt = now()
-    relayKeepalives += 1
-    const receivers = relayKeepalives % LISTENER_KEEPALIVE_FACTOR === 0 ? [...new Set([...candidates, ...listeners])] : candidates
+    relayKeepaliveCount += 1
+    const receivers = relayKeepaliveCount % LISTENER_KEEPALIVE_FACTOR === 0 ? [...new Set([...candidates, ...listeners])] : candidates
     for (const { host } of receivers) send(host, wire.formatKeepalive(false))
   }
 
--- a/packages/spread/src/_lib/factWire.ts
+++ b/packages/spread/src/_lib/factWire.ts
@@ -42,7 +42,7 @@
 function parseFact (value: unknown): WireFact[] {
   if (!Array.isArray(value)) return []
   const [id, ageMs, ttlMs, content] = value as unknown[]
-  if (typeof id !== 'string' || id.length > MAXIMUM_ID_LENGTH || !wire.isDuration(ageMs) || !wire.isDuration(ttlMs)) return []
+  if (typeof id !== 'string' || id.length > MAXIMUM_ID_LENGTH || !wire.isNonNegativeNumber(ageMs) || !wire.isNonNegativeNumber(ttlMs)) return []
   return [{ id, ageMs, ttlMs, content }]
 }
 
@@ -56,6 +56,6 @@
   }
   const [kind, first, count, replyFlag] = parsed as unknown[]
   if (kind === 'f' && Array.isArray(first)) return { type: 'facts', facts: first.flatMap(parseFact) }
-  if (kind === 'q' && wire.isDuration(first) && wire.isDuration(count)) return { type: 'digest', hash: first, count, expectsReply: replyFlag === 1 }
+  if (kind === 'q' && wire.isNonNegativeNumber(first) && wire.isNonNegativeNumber(count)) return { type: 'digest', hash: first, count, expectsReply: replyFlag === 1 }
   return null
 }
--- a/packages/spread/src/_lib/fleetTesting.ts
+++ b/packages/spread/src/_lib/fleetTesting.ts
@@ -29,8 +29,9 @@
 export interface TestDaemon extends PlannedDaemon {
   readonly gossip: createGossip.Gossip
   readonly traffic: Traffic
-  /** Time at which the newest received report of each engine was created, by host. */
+  /** Time of the mock clock at which the newest received report of each engine was created, by host. */
   readonly reports: Map<string, number>
+  /** Reasons of dropped datagrams. */
   readonly dropped: string[]
   /** `watchedAt`: advances with each answer of the store, also if nothing changed. */
   readonly state: { revision: number, watchedAt: number, isLeaving: boolean, isStoreLost: boolean, isPaused: boolean, suspects: string[] }
@@ -38,7 +39,7 @@
   readonly pauses: Map<string, number>
   /** Newest revision that it heard of, with the host that announced it. */
   readonly newestRevision: { revision: number, host: string }
-  /** Ages of versions as last received. */
+  /** Ages of versions as last received, in milliseconds by version. */
   readonly versionAges: Map<number, number>
   /** Received heartbeats, with their times. */
   readonly heartbeats: Array<{ readonly host: string, readonly at: number }>
@@ -76,11 +77,13 @@
 const AGENT_BYTES_PER_MS = 640
 const GATEWAY_BYTES_PER_MS = 12_500
 const REGION_BYTES_PER_MS = 2500
+/** Latencies within a region and between regions. */
 const NEAR_MS = 0.5
 const FAR_MS = 3
 const REGIONS = 3
 /** All daemons start within this time. */
 const START_MS = 300
+/** IP and UDP headers of a datagram. */
 const HEADER_BYTES = 28
 const SEEDS = 3
 const HOSTS_IN_NET = 250
--- a/packages/spread/src/_lib/fleetView.ts
+++ b/packages/spread/src/_lib/fleetView.ts
@@ -49,9 +49,9 @@
 const TOLERATED_LOST_ROUNDS = 3
 /** The same for full rounds within a relayed hall: with fewer, live members would count as silent while some datagrams are lost. */
 const TOLERATED_LOST_FULL_ROUNDS = 2
-/** Silence limit at the shortest heartbeat interval, which is one second. */
+/** Silence in milliseconds after which a peer is no longer live at the shortest heartbeat interval, one second. */
 export const PEER_LIVE_MS = 3200
-/** A relay sends a keepalive every 330 ms; it is replaced when three in a row are missing. */
+/** Silence after which a relay is replaced: it sends a keepalive every 330 ms, so that three in a row are missing. */
 const RELAY_LIVE_MS = 1000
 
 /**
@@ -92,7 +92,10 @@
   readonly preferred: readonly heartbeats.Heartbeat[]
 }
 
-/** The highest-ranked members of a hall hear of each other at least every {@link RELAY_LIVE_MS}; any other two members only at each keepalive. */
+/**
+ * Finds the members that may be relays. The highest-ranked members hear of each other within {@link RELAY_LIVE_MS}, so among them a longer silence
+ * counts; of any other member only an overdue keepalive does.
+ */
 function findRelayCandidates (self: heartbeats.Heartbeat, near: readonly memberTable.Member[], overdue: ReadonlySet<string>, now: number): RelayCandidates {
   const preferred = relays.rankCandidates([self, ...near.map((member) => member.heartbeat)], self.zone)
   const isPreferred = preferred.some(({ host }) => host === self.host)
--- a/packages/spread/src/_lib/heartbeat.ts
+++ b/packages/spread/src/_lib/heartbeat.ts
@@ -16,15 +16,17 @@
 export interface Heartbeat {
   readonly node: types.NodeId
   readonly role: 'gateway' | 'agent'
+  /** Data hall of the daemon. */
   readonly zone: string
+  /** Address of the daemon, by which others identify it. */
   readonly host: string
-  /** Whether it leaves, so that it takes no new work. */
+  /** Whether the daemon is leaving and takes no new work. */
   readonly isLeaving: boolean
   /** Whether the store did not answer its last calls. */
   readonly isStoreLost: boolean
   /** States of its copies, by kind of object; of a member of another hall, only the kinds that its hall announces under its host. */
   readonly copies: CopyStates
-  /** Versions announced lately. */
+  /** Versions of models announced lately. */
   readonly versions: readonly RecentVersion[]
   /** Peers whose requests failed or were slow lately. */
   readonly suspects: readonly string[]
@@ -35,5 +37,6 @@
 /** Another daemon. */
 export interface Peer {
   readonly heartbeat: Heartbeat
+  /** Monotonic time in milliseconds at which the peer was last known to be live. */
   readonly heardAt: number
 }
--- a/packages/spread/src/_lib/memberTable.ts
+++ b/packages/spread/src/_lib/memberTable.ts
@@ -5,11 +5,11 @@
 /** A peer with the fields that only the gossip itself needs. */
 export interface Member extends heartbeats.Peer {
   heartbeat: heartbeats.Heartbeat
-  /** When the member was last known to be live, by this daemon's clock. */
+  /** Time of this daemon's monotonic clock, in milliseconds, at which the member was last known to be live. */
   heardAt: number
-  /** When the member sent the engine report that is stored. */
+  /** The same for the engine report that is stored: when the member sent it. */
   reportedAt: number
-  /** Transit time of its last heartbeat, beyond that of the fastest one. */
+  /** Transit time of its last heartbeat beyond that of the fastest one, in milliseconds. */
   delayMs: number
 }
 
--- a/packages/spread/src/_lib/rates.ts
+++ b/packages/spread/src/_lib/rates.ts
@@ -37,7 +37,10 @@
 const RELAYED_ENGINE_REPORT_MS = 290
 const HALL_ROUND_MS = 190
 const DIGEST_MS = 600
-/** In a small hall keepalives are sent between heartbeats, so that lost ones matter less; in a large hall only where heartbeats are rare. */
+/**
+ * Time between keepalives: 60 ms for each member, from 500 to 1500 ms. In a small hall keepalives are sent between heartbeats, so that lost heartbeats
+ * matter less; in a large hall they are sent only where heartbeats are rare.
+ */
 const KEEPALIVE_MINIMUM_MS = 500
 const KEEPALIVE_MEMBER_MS = 60
 const KEEPALIVE_MS = 1500
@@ -47,10 +50,11 @@
 const GATEWAY_HEARTBEAT_BYTES = 240
 const AGENT_HEARTBEAT_BYTES = 262
 const ENGINE_REPORT_BYTES = 88
-/** Update of a member to its own hall, with its share of the datagram's header. */
+/** Update about a member that a relay sends to its own hall, with its share of the datagram's header. */
 const AGENT_UPDATE_BYTES = 70
 const GATEWAY_UPDATE_BYTES = 24
 const KEEPALIVE_BYTES = 35
+/** A member in a digest to other halls, with its share of the datagram's header. */
 const FAR_AGENT_BYTES = 114
 const FAR_GATEWAY_BYTES = 55
 /** Budget shares of a relay, which sends no engine reports. */
@@ -63,12 +67,13 @@
 const AGENT_DIGEST_FACTOR = 0.5
 /** A relay forwards every second digest that reaches its hall, and sends every second digest of its own hall to all others; the extra tenth covers its keepalives. */
 const RELAY_DIGEST_FACTOR = 1.1
-/** Longer heartbeat intervals require more engine reports and keepalives, so the split is iterated; the third pass changes little. */
+/** Longer heartbeat intervals require more engine reports and keepalives, so the intervals are computed repeatedly; the third pass changes little. */
 const PASSES = 3
 const MS_IN_SECOND = 1000
 
 interface Demand {
   readonly bytesPerSecond: number
+  /** Relative share of the kind while the bytes do not suffice for all. */
   readonly part: number
 }
 
@@ -92,16 +97,16 @@
 }
 
 /**
- * In a hall with more gateways, members reach each other through relays, since a wake-up costs more than the bytes of its datagram. With direct
- * datagrams among 183 daemons in five halls, a gateway received 80 datagrams a second, and an agent received 37 and sent 78, on a simulated
- * network; with relays these figures are 31, 10 and 16.
+ * Maximum number of gateways of a hall whose members exchange datagrams directly. In a hall with more, members reach each other through relays,
+ * since a wake-up costs more than the bytes of its datagram. With direct datagrams among 183 daemons in five halls, a gateway received 80 datagrams
+ * a second, and an agent received 37 and sent 78, on a simulated network; with relays these figures are 31, 10 and 16.
  */
 export const DIRECT_GATEWAYS = 14
-/** Keepalives to the relays of a relayed hall. */
+/** Time between two keepalives to the relays of a relayed hall. */
 export const RELAYED_KEEPALIVE_MS = 1000
-/** Members take turns in forwarding rounds; the budget of the mean is lowered so that the busiest one, which sends well over the mean, stays within the bound too. */
+/** Members take turns in forwarding rounds, so some send well over the mean: the mean may use only this fraction, so that the busiest member stays within the bound too. */
 const FORWARDING_FRACTION = 0.78
-/** Time between two rounds that tell all members of a relayed hall of all others. */
+/** Time between two rounds that inform all members of a relayed hall of all others. */
 export const FULL_ROUND_MS = 1000
 
 /**
@@ -123,56 +128,58 @@
 export function computeIntervals (size: FleetSize): Intervals {
   const periodicBytes = CONTROL_BYTES_PER_SECOND - IMMEDIATE_BYTES_PER_SECOND
   const members = size.gateways + size.agents
-  if (isRelayed(size.gateways)) return divideRelayedBytes(size, periodicBytes * FORWARDING_FRACTION)
+  if (isRelayed(size.gateways)) return computeRelayedIntervals(size, periodicBytes * FORWARDING_FRACTION)
   const keepaliveMs = Math.max(KEEPALIVE_MINIMUM_MS, Math.min(KEEPALIVE_MS, members * KEEPALIVE_MEMBER_MS), members * MS_IN_SECOND / KEEPALIVES_PER_SECOND)
-  let intervals = divideDirectBytes(size, keepaliveMs, periodicBytes, HEARTBEAT_MS)
+  let intervals = computeDirectIntervals(size, keepaliveMs, periodicBytes, HEARTBEAT_MS)
   for (let pass = 0; pass < PASSES; pass += 1) {
     const keepalives = intervals.heartbeatMs <= keepaliveMs ? 0 : members * KEEPALIVE_BYTES * MS_IN_SECOND / keepaliveMs
-    intervals = divideDirectBytes(size, keepaliveMs, periodicBytes - keepalives, intervals.heartbeatMs)
+    intervals = computeDirectIntervals(size, keepaliveMs, periodicBytes - keepalives, intervals.heartbeatMs)
   }
   return intervals
 }
 
-function divideDirectBytes (size: FleetSize, keepaliveMs: number, bytesPerSecond: number, heartbeatMs: number): Intervals {
+function computeDirectIntervals (size: FleetSize, keepaliveMs: number, bytesPerSecond: number, heartbeatMs: number): Intervals {
   const heartbeats = (size.gateways * GATEWAY_HEARTBEAT_BYTES + size.agents * AGENT_HEARTBEAT_BYTES) * MS_IN_SECOND / HEARTBEAT_MS
   const digests = (size.farAgents * FAR_AGENT_BYTES + size.farGateways * FAR_GATEWAY_BYTES) * MS_IN_SECOND / DIGEST_MS
-  const computeProfile = (reports: number, digestFactor: number, shares: typeof BUDGET_SHARES): number[] => computeStretchFactors([
+  // One entry each for a gateway, an agent and a relay: the role that needs the longest interval of a kind decides.
+  const computeRoleFactors = (reports: number, digestFactor: number, shares: typeof BUDGET_SHARES): number[] => computeStretchFactors([
     { bytesPerSecond: heartbeats, part: shares.heartbeat },
     { bytesPerSecond: reports, part: shares.engineReport },
     { bytesPerSecond: digests * digestFactor, part: shares.digest }
   ], bytesPerSecond)
-  const profiles = [
-    computeProfile(computeReportBytes(size.agents, heartbeatMs), 1, BUDGET_SHARES),
-    computeProfile(computeReportBytes(size.gateways, heartbeatMs), AGENT_DIGEST_FACTOR, BUDGET_SHARES),
-    computeProfile(0, RELAY_DIGEST_FACTOR, RELAY_SHARES)
+  const roleFactors = [
+    computeRoleFactors(computeReportBytes(size.agents, heartbeatMs), 1, BUDGET_SHARES),
+    computeRoleFactors(computeReportBytes(size.gateways, heartbeatMs), AGENT_DIGEST_FACTOR, BUDGET_SHARES),
+    computeRoleFactors(0, RELAY_DIGEST_FACTOR, RELAY_SHARES)
   ]
-  const factor = (at: number): number => Math.max(...profiles.map((factors) => factors[at] ?? 1))
-  return { heartbeatMs: HEARTBEAT_MS * factor(0), keepaliveMs, engineReportMs: ENGINE_REPORT_MS * factor(1), hallRoundMs: Infinity, digestMs: DIGEST_MS * factor(2) }
+  const findLargestFactor = (at: number): number => Math.max(...roleFactors.map((factors) => factors[at] ?? 1))
+  return { heartbeatMs: HEARTBEAT_MS * findLargestFactor(0), keepaliveMs, engineReportMs: ENGINE_REPORT_MS * findLargestFactor(1), hallRoundMs: Infinity, digestMs: DIGEST_MS * findLargestFactor(2) }
 }
 
 /** In a relayed hall, rare heartbeats go to all members; keepalives and engine reports go to the relays, which forward them in rounds. */
-function divideRelayedBytes (size: FleetSize, bytesPerSecond: number): Intervals {
+function computeRelayedIntervals (size: FleetSize, bytesPerSecond: number): Intervals {
   const heartbeats = (size.gateways * GATEWAY_HEARTBEAT_BYTES + size.agents * AGENT_HEARTBEAT_BYTES) * MS_IN_SECOND / HEARTBEAT_MS
   const digests = (size.farAgents * FAR_AGENT_BYTES + size.farGateways * FAR_GATEWAY_BYTES) * MS_IN_SECOND / DIGEST_MS
   const fullRounds = (size.agents * AGENT_UPDATE_BYTES + size.gateways * GATEWAY_UPDATE_BYTES) * MS_IN_SECOND / FULL_ROUND_MS
   const gatewayUpdates = size.gateways * GATEWAY_UPDATE_BYTES * MS_IN_SECOND / RELAYED_KEEPALIVE_MS
   const rounds = size.agents * AGENT_UPDATE_BYTES * MS_IN_SECOND / HALL_ROUND_MS
   const engineReports = size.agents * ENGINE_REPORT_BYTES * MS_IN_SECOND / RELAYED_ENGINE_REPORT_MS
-  const computeProfile = (reports: number, fixed: number, digestFactor: number, shares: typeof BUDGET_SHARES): number[] => computeStretchFactors([
+  // One entry each for a gateway, an agent and a relay, as for direct datagrams; `fixed` bytes are not stretched.
+  const computeRoleFactors = (reports: number, fixed: number, digestFactor: number, shares: typeof BUDGET_SHARES): number[] => computeStretchFactors([
     { bytesPerSecond: heartbeats, part: shares.heartbeat },
     { bytesPerSecond: reports, part: shares.engineReport },
     { bytesPerSecond: digests * digestFactor, part: shares.digest }
   ], bytesPerSecond - fixed)
-  const profiles = [
-    computeProfile(rounds, gatewayUpdates, 1, BUDGET_SHARES),
-    computeProfile(0, fullRounds, AGENT_DIGEST_FACTOR, RELAY_SHARES),
-    computeProfile(engineReports + rounds * OTHER_RELAY_ROUNDS_FRACTION, gatewayUpdates * OTHER_RELAY_ROUNDS_FRACTION + size.gateways * KEEPALIVE_BYTES * MS_IN_SECOND / RELAYED_KEEPALIVE_MS, RELAY_DIGEST_FACTOR, RELAYED_RELAY_SHARES)
+  const roleFactors = [
+    computeRoleFactors(rounds, gatewayUpdates, 1, BUDGET_SHARES),
+    computeRoleFactors(0, fullRounds, AGENT_DIGEST_FACTOR, RELAY_SHARES),
+    computeRoleFactors(engineReports + rounds * OTHER_RELAY_ROUNDS_FRACTION, gatewayUpdates * OTHER_RELAY_ROUNDS_FRACTION + size.gateways * KEEPALIVE_BYTES * MS_IN_SECOND / RELAYED_KEEPALIVE_MS, RELAY_DIGEST_FACTOR, RELAYED_RELAY_SHARES)
   ]
-  const factor = (at: number): number => Math.max(...profiles.map((factors) => factors[at] ?? 1))
-  return { heartbeatMs: HEARTBEAT_MS * factor(0), keepaliveMs: KEEPALIVE_MS, engineReportMs: RELAYED_ENGINE_REPORT_MS * factor(1), hallRoundMs: HALL_ROUND_MS * factor(1), digestMs: DIGEST_MS * factor(2) }
+  const findLargestFactor = (at: number): number => Math.max(...roleFactors.map((factors) => factors[at] ?? 1))
+  return { heartbeatMs: HEARTBEAT_MS * findLargestFactor(0), keepaliveMs: KEEPALIVE_MS, engineReportMs: RELAYED_ENGINE_REPORT_MS * findLargestFactor(1), hallRoundMs: HALL_ROUND_MS * findLargestFactor(1), digestMs: DIGEST_MS * findLargestFactor(2) }
 }
 
-/** Bytes per second of engine reports that a gateway gets of so many agents, or an agent sends to so many gateways, beyond those that heartbeats carry. */
+/** Computes the bytes per second of engine reports that a gateway gets from so many agents, or an agent sends to so many gateways, beyond those in heartbeats. */
 function computeReportBytes (members: number, heartbeatMs: number): number {
   return members * ENGINE_REPORT_BYTES * (MS_IN_SECOND / ENGINE_REPORT_MS - MS_IN_SECOND / Math.max(heartbeatMs, ENGINE_REPORT_MS))
 }
--- a/packages/spread/src/_lib/relays.ts
+++ b/packages/spread/src/_lib/relays.ts
@@ -3,13 +3,13 @@
 import * as rankGateways from '../rankGateways/index.js'
 import type * as heartbeats from './heartbeat.js'
 
-/** Two, so that the digests of a hall go on while one of them is silent. */
+/** Number of relays of a hall: two, so that digests are still exchanged while one of them is silent. */
 export const RELAYS_PER_HALL = 2
-/** The relays and their standbys, which exchange keepalives more often than other members. */
+/** Number of relays and standbys of a hall, which exchange keepalives more often than other members. */
 export const CANDIDATES = 4
-/** The candidates and as many members after them get frequent keepalives of the candidates, so that a hall whose first four gateways fail together soon has relays again. */
+/** Number of members that get frequent keepalives of the candidates: these and as many after them, so that a hall whose first four gateways fail together soon has relays again. */
 export const LISTENERS = 8
-/** Members that a member forwards a digest to; each one forwards it within its part of the hall. */
+/** Number of members that a member forwards a digest to; each one forwards it within its part of the hall. */
 export const FAN_OUT = 3
 
 /** A part of a hall, and the host that forwards a digest within it, which is the first or the last one of the part. */
@@ -23,7 +23,7 @@
  *
  * @param members - Live daemons, this one included.
  * @param zone - The hall.
- * @param count - Members to return.
+ * @param count - Maximum number of members to return.
  * @returns The members of the highest rank, in their order.
  */
 export function rankCandidates (members: readonly heartbeats.Heartbeat[], zone: string, count = CANDIDATES): heartbeats.Heartbeat[] {
@@ -58,8 +58,8 @@
 /** A part with overdue hosts at both ends may have no live forwarder: hosts at its start get parts of their own until one end is not overdue. */
 function isolateOverdue (part: readonly string[], overdue: ReadonlySet<string>): Array<readonly string[]> {
   const [first, last] = [part[0], part.at(-1)]
-  const isLost = part.length > 2 && first !== undefined && last !== undefined && overdue.has(first) && overdue.has(last)
-  return isLost ? [[first], ...isolateOverdue(part.slice(1), overdue)] : [part]
+  const hasOverdueEnds = part.length > 2 && first !== undefined && last !== undefined && overdue.has(first) && overdue.has(last)
+  return hasOverdueEnds ? [[first], ...isolateOverdue(part.slice(1), overdue)] : [part]
 }
 
 /** Chooses the first or the last host of a part: one that is not overdue, and preferably one that is not avoided. */
--- a/packages/spread/src/_lib/wire.test.ts
+++ b/packages/spread/src/_lib/wire.test.ts
@@ -18,16 +18,16 @@
 const state = fastCheck.record({ at: fastCheck.nat(), digest: fastCheck.string() }, { noNullPrototype: true })
 const engine = fastCheck.oneof(fastCheck.constant(null), fastCheck.array(fastCheck.oneof(fastCheck.nat(), fastCheck.string(), fastCheck.boolean())))
 
-function anyHeartbeat (isWhole: boolean): fastCheck.Arbitrary<heartbeats.Heartbeat> {
+function anyHeartbeat (isComplete: boolean): fastCheck.Arbitrary<heartbeats.Heartbeat> {
   return fastCheck.record({
     node: fastCheck.string().map((name) => types.brandId<types.NodeId>(name)),
     role: fastCheck.constantFrom('gateway' as const, 'agent' as const),
-    zone: isWhole ? fastCheck.string() : fastCheck.constant('hall-1'),
+    zone: isComplete ? fastCheck.string() : fastCheck.constant('hall-1'),
     host: fastCheck.string(),
     isLeaving: fastCheck.boolean(),
     isStoreLost: fastCheck.boolean(),
-    copies: isWhole ? fastCheck.dictionary(kind, state, { noNullPrototype: true }) : fastCheck.constant({}),
-    versions: isWhole ? fastCheck.array(version) : fastCheck.constant([]),
+    copies: isComplete ? fastCheck.dictionary(kind, state, { noNullPrototype: true }) : fastCheck.constant({}),
+    versions: isComplete ? fastCheck.array(version) : fastCheck.constant([]),
     suspects: fastCheck.array(fastCheck.string()),
     engine
   }, { noNullPrototype: true })
--- a/packages/spread/src/_lib/wire.ts
+++ b/packages/spread/src/_lib/wire.ts
@@ -14,14 +14,16 @@
   readonly heartbeat: heartbeats.Heartbeat
   /** Milliseconds since the relay received this state. */
   readonly ageMs: number
-  /** Transit time of its heartbeat to the relay, beyond that of the fastest one. */
+  /** Transit time of its heartbeat to the relay beyond that of the fastest one, in milliseconds. */
   readonly delayMs: number
 }
 
 /** Update that a relay sends to its own hall about a member that the hall knows. */
 export interface MemberUpdate {
   readonly host: string
+  /** Milliseconds since the relay received this state. */
   readonly ageMs: number
+  /** Transit time of the state to the relay beyond that of the fastest datagrams, in milliseconds. */
   readonly delayMs: number
   /** The engine report of an agent; null if the update is only a keepalive. */
   readonly engine: unknown
@@ -45,8 +47,9 @@
 
 /** Header of a digest, which controls how it is forwarded. */
 export interface DigestHeader {
+  /** Monotonic clock of the sender, in milliseconds. */
   readonly sentAt: number
-  /** Delay on the previous hops beyond the fastest transit, in milliseconds. */
+  /** Transit time of the previous hops beyond that of the fastest datagrams, in milliseconds. */
   readonly delayMs: number
   readonly audience: Audience
   /** Range of the sorted hosts, possibly wrapping around their end, within which the receiver forwards the digest; null: the whole hall. */
@@ -55,7 +58,7 @@
   readonly ingressHost: string
 }
 
-/** A datagram: a heartbeat, an engine report (`news`), a keepalive (`sign`), hosts to contact, or a digest. */
+/** A datagram: a heartbeat, an engine report (`news`), a keepalive (`sign`), hosts to contact, or a digest. `sentAt` is the sender's monotonic clock in milliseconds. */
 export type Message =
   | { readonly type: 'heartbeat', readonly sentAt: number, readonly heartbeat: heartbeats.Heartbeat, readonly viewHash: number, readonly urgency: Urgency }
   | { readonly type: 'news', readonly sentAt: number, readonly engine: unknown }
@@ -69,7 +72,7 @@
 /** A decoded datagram, or why there is none. */
 export type Decoded = { readonly ok: true, readonly message: Message } | { readonly ok: false, readonly reason: DropReason }
 
-/** Longest payload that routers do not fragment. */
+/** Longest payload in bytes that routers do not fragment. */
 export const DATAGRAM_BYTES = 1200
 /** Bytes of a digest's datagram reserved for its header: three hosts and three numbers. */
 const HEADER_BYTES = 120
@@ -184,9 +187,9 @@
 
 const isString = (value: unknown): value is string => typeof value === 'string'
 const isNumber = (value: unknown): value is number => typeof value === 'number' && Number.isFinite(value)
-/** Tells whether a value is a duration in milliseconds. */
-export const isDuration = (value: unknown): value is number => isNumber(value) && value >= 0
-const isFlags = (value: unknown): value is number => isDuration(value) && (value & ~ALL_FLAGS) === 0 && Number.isInteger(value)
+/** Tells whether a value is a finite number from 0. */
+export const isNonNegativeNumber = (value: unknown): value is number => isNumber(value) && value >= 0
+const isFlags = (value: unknown): value is number => isNonNegativeNumber(value) && (value & ~ALL_FLAGS) === 0 && Number.isInteger(value)
 const isArray = (value: unknown): value is unknown[] => Array.isArray(value)
 const isStringList = (value: unknown): value is string[] => isArray(value) && value.every(isString)
 const isRecord = (value: unknown): value is Record<string, unknown> => typeof value === 'object' && value !== null && !Array.isArray(value)
@@ -209,7 +212,7 @@
 
 function parseModelVersions (model: string, pairs: readonly unknown[]): heartbeats.RecentVersion[] {
   const versions: heartbeats.RecentVersion[] = []
-  for (let at = 0; at < pairs.length; at += 2) versions.push({ model, version: requireShape(pairs[at], isNumber), ageMs: requireShape(pairs[at + 1], isDuration) })
+  for (let at = 0; at < pairs.length; at += 2) versions.push({ model, version: requireShape(pairs[at], isNumber), ageMs: requireShape(pairs[at + 1], isNonNegativeNumber) })
   return versions
 }
 
@@ -246,8 +249,8 @@
 function parseMember (value: unknown, zone: string): DigestMember {
   const [node, host, flags, ageMs, delayMs, suspects, engine] = requireShape(value, isArray)
   return {
-    ageMs: requireShape(ageMs, isDuration),
-    delayMs: requireShape(delayMs, isDuration),
+    ageMs: requireShape(ageMs, isNonNegativeNumber),
+    delayMs: requireShape(delayMs, isNonNegativeNumber),
     heartbeat: {
       ...parseFlags(flags),
       node: types.brandId<types.NodeId>(requireShape(node, isString)),
@@ -263,7 +266,7 @@
 
 function parseUpdate (value: unknown): MemberUpdate {
   const [host, ageMs, delayMs, engine] = requireShape(value, isArray)
-  return { host: requireShape(host, isString), ageMs: requireShape(ageMs, isDuration), delayMs: requireShape(delayMs, isDuration), engine: engine ?? null }
+  return { host: requireShape(host, isString), ageMs: requireShape(ageMs, isNonNegativeNumber), delayMs: requireShape(delayMs, isNonNegativeNumber), engine: engine ?? null }
 }
 
 function parseHallCopies (value: unknown): HallCopies {
@@ -281,7 +284,7 @@
     body,
     header: {
       sentAt: requireShape(sentAt, isNumber),
-      delayMs: requireShape(delayMs, isDuration),
+      delayMs: requireShape(delayMs, isNonNegativeNumber),
       audience: parseOneOf(AUDIENCES, audience),
       range: firstHost === undefined ? null : [requireShape(firstHost, isString), requireShape(lastHost, isString)],
       ingressHost: firstHost === undefined ? '' : requireShape(ingressHost, isString)
--- a/packages/spread/src/createCopySync/index.ts
+++ b/packages/spread/src/createCopySync/index.ts
@@ -66,7 +66,7 @@
   readonly heardAt: number
 }
 
-/** Time that a daemon whose own watch works waits for it before it asks a peer; events of the store arrive within it unless a link is full. */
+/** Time that a daemon whose own watch works waits for its events before it asks a peer; they arrive within it unless a link is full. */
 const WATCH_GRACE_MS = 150
 /** Time between two checks for a peer to ask while none may be asked, as when only other halls have a newer copy; short compared with the wait for the own hall. */
 const HALL_POLL_MS = 50
@@ -108,7 +108,7 @@
   const pending = new Map<string, AbortController>()
   let failures = 0
   let isSyncing = false
-  /** Times from which the next peer may be asked, and one of another hall. */
+  /** Monotonic times from which the next peer may be asked, and one of another hall. */
   let nextRequestAt = 0
   let otherHallsAt = 0
   let endWait = (): void => {}
@@ -225,19 +225,19 @@
     if (!fetched.ok) return noteFailure(host, fetched.error.message, fetched.error instanceof InvalidCopyError)
     const { changes } = fetched.value
     if (changes.kind !== kind) return noteFailure(host, `a copy of ${changes.kind}`, true)
-    return applyVerdict(mirror.applyChanges(changes), { ...fetched.value, host, isOwnHall })
+    return handleApplyResult(mirror.applyChanges(changes), { ...fetched.value, host, isOwnHall })
   }
 
-  function applyVerdict (verdict: store.ChangesVerdict, adopted: AdoptedCopy): boolean {
-    if (verdict === 'false-digest') return noteFailure(adopted.host, 'objects that do not give their digest', true)
-    if (verdict === 'unfit') {
+  function handleApplyResult (result: store.ChangesVerdict, adopted: AdoptedCopy): boolean {
+    if (result === 'false-digest') return noteFailure(adopted.host, 'objects that do not give their digest', true)
+    if (result === 'unfit') {
       needsFullCopy = true
       return noteFailure(adopted.host, 'changes that do not join on to this copy', true)
     }
     failures = 0
     failed.clear()
     needsFullCopy = false
-    if (verdict !== 'applied') {
+    if (result !== 'applied') {
       offers.delete(adopted.host)
       return true
     }
--- a/packages/spread/src/createCopySync/test.ts
+++ b/packages/spread/src/createCopySync/test.ts
@@ -6,7 +6,7 @@
 import * as createCopySync from './index.js'
 
 const KIND = 'things'
-const FAR_GRACE_MS = 400
+const OTHER_HALL_GRACE_MS = 400
 const STEP_MS = 10
 
 interface Harness {
@@ -14,10 +14,10 @@
   readonly asked: string[]
   readonly confirmed: string[]
   readonly failures: string[]
-  /** Hosts whose request was ended because its answer was no longer needed. */
+  /** Hosts whose request was aborted because its answer was no longer needed. */
   readonly ended: string[]
   /** Delivers a heartbeat with the state of a peer's copy. */
-  readonly hear: (host: string, zone: string, peer: store.Mirror, role?: createGossip.Heartbeat['role']) => void
+  readonly deliver: (host: string, zone: string, peer: store.Mirror, role?: createGossip.Heartbeat['role']) => void
   readonly advance: (milliseconds: number) => Promise<void>
 }
 
@@ -46,7 +46,7 @@
     zone: 'hall-a',
     canServe: ({ role }) => role === 'gateway',
     isWatching: () => options.isWatching ?? false,
-    farGraceMs: () => FAR_GRACE_MS,
+    farGraceMs: () => OTHER_HALL_GRACE_MS,
     fetchChanges: async (host, request, signal) => {
       asked.push(host)
       signal?.addEventListener('abort', () => { ended.push(host) })
@@ -68,7 +68,7 @@
     confirmed,
     failures,
     ended,
-    hear: (host, zone, peer, role = 'gateway') => {
+    deliver: (host, zone, peer, role = 'gateway') => {
       peers.set(host, peer)
       sync.noteHeartbeat(makeHeartbeat(host, zone, peer.state(), role))
     },
@@ -95,7 +95,7 @@
 nodeTest.test('equal content at a later revision is confirmed, and no peer is asked', async (context) => {
   const harness = createHarness(context)
   harness.mirror.applyList({ at: 5, objects: [{ name: 'a', revision: 1, value: null }] })
-  harness.hear('near-1', 'hall-a', createListed(90, 'a'))
+  harness.deliver('near-1', 'hall-a', createListed(90, 'a'))
   await harness.advance(3000)
   assert.deepEqual(harness.asked, [])
   assert.deepEqual(harness.confirmed, [KIND])
@@ -104,9 +104,9 @@
 
 nodeTest.test('a peer of the own hall is asked at once and only once, also if the heartbeat of another hall came first', async (context) => {
   const harness = createHarness(context, { answerMs: 200 })
-  harness.hear('far-1', 'hall-b', createListed(9, 'a'))
+  harness.deliver('far-1', 'hall-b', createListed(9, 'a'))
   await harness.advance(100)
-  for (const host of ['near-1', 'near-2', 'near-3']) harness.hear(host, 'hall-a', createListed(9, 'a'))
+  for (const host of ['near-1', 'near-2', 'near-3']) harness.deliver(host, 'hall-a', createListed(9, 'a'))
   await harness.advance(2000)
   assert.deepEqual(harness.asked, ['near-1'])
   assert.equal(harness.mirror.objects().size, 1)
@@ -114,17 +114,17 @@
 
 nodeTest.test('requests are spread over all peers of the hall that have the copy', async (context) => {
   const harness = createHarness(context, { random: () => 0.99, answerMs: 50 })
-  harness.hear('far-1', 'hall-b', createListed(9, 'a'))
+  harness.deliver('far-1', 'hall-b', createListed(9, 'a'))
   await harness.advance(20)
-  for (const host of ['near-1', 'near-2', 'near-3']) harness.hear(host, 'hall-a', createListed(9, 'a'))
+  for (const host of ['near-1', 'near-2', 'near-3']) harness.deliver(host, 'hall-a', createListed(9, 'a'))
   await harness.advance(1000)
   assert.deepEqual(harness.asked, ['near-3'])
 })
 
 nodeTest.test('another hall is asked only if no peer of the own hall has the copy after the grace period', async (context) => {
   const harness = createHarness(context)
-  harness.hear('far-1', 'hall-b', createListed(9, 'a'))
-  await harness.advance(FAR_GRACE_MS - 100)
+  harness.deliver('far-1', 'hall-b', createListed(9, 'a'))
+  await harness.advance(OTHER_HALL_GRACE_MS - 100)
   assert.deepEqual(harness.asked, [])
   await harness.advance(200)
   assert.deepEqual(harness.asked, ['far-1'])
@@ -133,7 +133,7 @@
 nodeTest.test('a daemon whose watch works waits for its events', async (context) => {
   const harness = createHarness(context, { isWatching: true })
   harness.mirror.applyList({ at: 3, objects: [] })
-  harness.hear('near-1', 'hall-a', createListed(9, 'a'))
+  harness.deliver('near-1', 'hall-a', createListed(9, 'a'))
   await harness.advance(100)
   harness.mirror.applyEvents({ at: 9, events: [{ isGone: false, object: { name: 'a', revision: 5, value: null } }] })
   await harness.advance(1000)
@@ -142,7 +142,7 @@
 
 nodeTest.test('another peer is asked after one that fails, with growing delays', async (context) => {
   const harness = createHarness(context, { answer: (host, _request, changes) => host === 'near-3' ? types.succeed(changes) : types.fail(new types.UnavailableError('silent')) })
-  for (const host of ['near-1', 'near-2', 'near-3']) harness.hear(host, 'hall-a', createListed(9, 'a'))
+  for (const host of ['near-1', 'near-2', 'near-3']) harness.deliver(host, 'hall-a', createListed(9, 'a'))
   await harness.advance(40)
   assert.deepEqual(harness.asked, ['near-1'])
   await harness.advance(60)
@@ -164,7 +164,7 @@
     }
   })
   harness.mirror.applyList({ at: 3, objects: [] })
-  harness.hear('near-1', 'hall-a', createListed(9, 'a'))
+  harness.deliver('near-1', 'hall-a', createListed(9, 'a'))
   await harness.advance(300)
   assert.deepEqual(sinces, [3, 0])
   assert.match(harness.failures.join(), /near-1: changes that do not join on/)
@@ -173,7 +173,7 @@
 
 nodeTest.test('a peer that became silent is no longer asked', async (context) => {
   const harness = createHarness(context, { answer: () => types.fail(new types.UnavailableError('gone')) })
-  harness.hear('near-1', 'hall-a', createListed(9, 'a'))
+  harness.deliver('near-1', 'hall-a', createListed(9, 'a'))
   await harness.advance(createGossip.PEER_EXPIRY_MS + 100)
   const asked = harness.asked.length
   await harness.advance(5000)
@@ -184,7 +184,7 @@
 nodeTest.test('a peer of a large fleet with 3.4 s between heartbeats is still asked before its next heartbeat', async (context) => {
   let isBack = false
   const harness = createHarness(context, { answer: (_host, _request, changes) => isBack ? types.succeed(changes) : types.fail(new types.UnavailableError('full')) })
-  harness.hear('near-1', 'hall-a', createListed(9, 'a'))
+  harness.deliver('near-1', 'hall-a', createListed(9, 'a'))
   await harness.advance(3300)
   isBack = true
   await harness.advance(1100)
@@ -195,13 +195,13 @@
 
 nodeTest.test('another peer of the hall is asked while one answers slowly', async (context) => {
   const harness = createHarness(context, { answerMs: (host) => host === 'near-1' ? SLOW_ANSWER_MS : 100 })
-  for (const host of ['near-1', 'near-2', 'near-3']) harness.hear(host, 'hall-a', createListed(9, 'a'))
-  harness.hear('far-1', 'hall-b', createListed(9, 'a'))
+  for (const host of ['near-1', 'near-2', 'near-3']) harness.deliver(host, 'hall-a', createListed(9, 'a'))
+  harness.deliver('far-1', 'hall-b', createListed(9, 'a'))
   await harness.advance(2000)
   assert.equal(harness.mirror.objects().size, 1)
   assert.deepEqual(harness.asked, ['near-1', 'near-2'])
   assert.deepEqual(harness.ended, ['near-1'])
-  harness.hear('near-3', 'hall-a', createListed(12, 'a', 'b'))
+  harness.deliver('near-3', 'hall-a', createListed(12, 'a', 'b'))
   await harness.advance(500)
   assert.equal(harness.mirror.objects().size, 2)
   await harness.advance(SLOW_ANSWER_MS)
@@ -211,7 +211,7 @@
 
 nodeTest.test('at most two peers are asked at a time, and a late answer is applied if it is the first', async (context) => {
   const harness = createHarness(context, { answerMs: (host) => host === 'near-1' ? 4000 : SLOW_ANSWER_MS })
-  for (const host of ['near-1', 'near-2', 'near-3']) harness.hear(host, 'hall-a', createListed(9, 'a'))
+  for (const host of ['near-1', 'near-2', 'near-3']) harness.deliver(host, 'hall-a', createListed(9, 'a'))
   await harness.advance(3900)
   assert.deepEqual(harness.asked, ['near-1', 'near-2'])
   await harness.advance(200)
@@ -221,16 +221,16 @@
 
 nodeTest.test('no second request is sent while an answer is not late', async (context) => {
   const harness = createHarness(context, { answerMs: 450 })
-  for (const host of ['near-1', 'near-2']) harness.hear(host, 'hall-a', createListed(9, 'a'))
+  for (const host of ['near-1', 'near-2']) harness.deliver(host, 'hall-a', createListed(9, 'a'))
   await harness.advance(2000)
   assert.deepEqual(harness.asked, ['near-1'])
 })
 
 nodeTest.test('another hall is asked after the grace period if all peers of the own hall fail', async (context) => {
   const harness = createHarness(context, { answer: (host, _request, changes) => host === 'far-1' ? types.succeed(changes) : types.fail(new types.UnavailableError('silent')) })
-  harness.hear('near-1', 'hall-a', createListed(9, 'a'))
-  harness.hear('far-1', 'hall-b', createListed(9, 'a'))
-  await harness.advance(FAR_GRACE_MS - 100)
+  harness.deliver('near-1', 'hall-a', createListed(9, 'a'))
+  harness.deliver('far-1', 'hall-b', createListed(9, 'a'))
+  await harness.advance(OTHER_HALL_GRACE_MS - 100)
   assert.equal(harness.asked.includes('far-1'), false)
   await harness.advance(1000)
   assert.equal(harness.asked.at(-1), 'far-1')
@@ -239,7 +239,7 @@
 
 nodeTest.test('a peer whose copy is not complete enough is neither asked nor used to confirm the own copy', async (context) => {
   const harness = createHarness(context)
-  harness.hear('near-1', 'hall-a', createListed(9, 'a'), 'agent')
+  harness.deliver('near-1', 'hall-a', createListed(9, 'a'), 'agent')
   await harness.advance(2000)
   assert.deepEqual(harness.asked, [])
 })
--- a/packages/spread/src/createFactExchange/index.ts
+++ b/packages/spread/src/createFactExchange/index.ts
@@ -16,7 +16,7 @@
   readonly zone: string
   readonly peers: () => readonly FactPeer[]
   readonly send: (host: string, bytes: Buffer) => void
-  /** Called once for each fact of others; `createdAt` is a time of this process's clock. */
+  /** Called once for each fact of others; `createdAt` is a time of this process's monotonic clock in milliseconds. */
   readonly onFact: (content: unknown, createdAt: number) => void
   /** Called for each malformed datagram. */
   readonly onDrop: () => void
@@ -40,14 +40,16 @@
   readonly tell: (content: unknown, ttlMs: number, ageMs?: number) => void
   /** Handles a datagram; returns false if it does not belong to this exchange. */
   readonly receive: (bytes: Buffer, from: string) => boolean
-  /** To be called some times a second. */
+  /** Expires facts and starts comparisons; to be called some times a second. */
   readonly tick: () => void
+  /** Number of stored facts. */
   readonly count: () => number
 }
 
 interface Fact {
   readonly id: string
   readonly content: unknown
+  /** Monotonic time in milliseconds. */
   readonly createdAt: number
   readonly ttlMs: number
   readonly hash: number
--- a/packages/spread/src/createFactExchange/test.ts
+++ b/packages/spread/src/createFactExchange/test.ts
@@ -3,7 +3,7 @@
 import * as standins from '@switchridge/standins'
 import * as createFactExchange from './index.js'
 
-interface Shape {
+interface FleetShape {
   readonly halls: number
   readonly gatewaysPerHall: number
   /** Fraction of the datagrams that are lost. */
@@ -27,7 +27,7 @@
   /** Hosts that cannot be reached and send nothing. */
   readonly gone: Set<string>
   /** Advances the time until each running gateway knows a fact; returns the milliseconds, or Infinity. */
-  readonly untilKnown: (content: unknown, maximumMs: number) => number
+  readonly advanceUntilKnown: (content: unknown, maximumMs: number) => number
   readonly advance: (milliseconds: number) => void
   /** Restarts the gateway without its facts. */
   readonly restart: (gateway: Gateway) => void
@@ -39,7 +39,7 @@
 /** The users' tightest bound for a daemon to catch up after a fault. */
 const CONTACT_MS = 3000
 
-function startFleet ({ halls, gatewaysPerHall, lossFraction }: Shape, seed = 7): Fleet {
+function startFleet ({ halls, gatewaysPerHall, lossFraction }: FleetShape, seed = 7): Fleet {
   const timeline = standins.createTimeline()
   const random = standins.createRandom(seed)
   const cut = new Set<string>()
@@ -47,7 +47,7 @@
   const { now } = timeline
   const gateways: Gateway[] = []
 
-  function reaches (from: Gateway, to: Gateway): boolean {
+  function canReach (from: Gateway, to: Gateway): boolean {
     if (gone.has(from.host) || gone.has(to.host)) return false
     return from.zone === to.zone || (!cut.has(from.zone) && !cut.has(to.zone))
   }
@@ -55,12 +55,12 @@
   function create (self: Omit<Gateway, 'exchange'>): createFactExchange.FactExchange {
     return createFactExchange.createFactExchange({
       zone: self.zone,
-      peers: () => gateways.filter((other) => other.host !== self.host && reaches(self as Gateway, other)),
+      peers: () => gateways.filter((other) => other.host !== self.host && canReach(self as Gateway, other)),
       send: (host, bytes) => {
         const to = gateways.find((other) => other.host === host)
         if (to === undefined || random() < lossFraction) return
         timeline.at(now() + (to.zone === self.zone ? LATENCY_MS.near : LATENCY_MS.far), () => {
-          if (!reaches(self as Gateway, to)) return
+          if (!canReach(self as Gateway, to)) return
           to.datagramsIn += 1
           to.bytesIn += bytes.length
           to.exchange.receive(bytes, self.host)
@@ -102,7 +102,7 @@
       gateway.known.clear()
       gateway.exchange = create(gateway)
     },
-    untilKnown: (content, maximumMs) => {
+    advanceUntilKnown: (content, maximumMs) => {
       for (let passed = 0; passed <= maximumMs; passed += 1) {
         if (gateways.every((each) => gone.has(each.host) || each.known.has(content))) return passed
         advance(1)
@@ -112,21 +112,21 @@
   }
 }
 
-function tell (fleet: Fleet, index: number, content: unknown): void {
+function publishFact (fleet: Fleet, index: number, content: unknown): void {
   const gateway = fleet.gateways[index] as Gateway
   gateway.known.set(content, fleet.timeline.now())
   gateway.exchange.tell(content, TTL_MS)
 }
 
-const SMALL: Shape = { halls: 3, gatewaysPerHall: 3, lossFraction: 0 }
-const LARGE: Shape = { halls: 5, gatewaysPerHall: 20, lossFraction: 0 }
+const SMALL: FleetShape = { halls: 3, gatewaysPerHall: 3, lossFraction: 0 }
+const LARGE: FleetShape = { halls: 5, gatewaysPerHall: 20, lossFraction: 0 }
 
-for (const [name, shape, boundMs] of [['seven gateways and more', SMALL, 60], ['100 gateways in five halls', LARGE, 60]] as const) {
+for (const [name, shape, boundMs] of [['nine gateways in three halls', SMALL, 60], ['100 gateways in five halls', LARGE, 60]] as const) {
   nodeTest.test(`a fact reaches ${name} within 60 ms`, (context) => {
     const fleet = startFleet(shape)
     fleet.advance(12_000)
-    tell(fleet, 0, 'fact')
-    const tookMs = fleet.untilKnown('fact', CONTACT_MS)
+    publishFact(fleet, 0, 'fact')
+    const tookMs = fleet.advanceUntilKnown('fact', CONTACT_MS)
     context.diagnostic(`${tookMs} ms`)
     assert.ok(tookMs <= boundMs, `known after ${tookMs} ms`)
   })
@@ -136,8 +136,8 @@
   for (const seed of [1, 2, 3, 4, 5, 6, 7, 8]) {
     const fleet = startFleet({ ...LARGE, lossFraction: 0.05 }, seed)
     fleet.advance(12_000)
-    tell(fleet, 0, 'fact')
-    const tookMs = fleet.untilKnown('fact', 2 * CONTACT_MS)
+    publishFact(fleet, 0, 'fact')
+    const tookMs = fleet.advanceUntilKnown('fact', 2 * CONTACT_MS)
     context.diagnostic(`seed ${seed}: ${tookMs} ms`)
     assert.ok(tookMs <= CONTACT_MS, `known after ${tookMs} ms`)
   }
@@ -147,28 +147,28 @@
   const fleet = startFleet({ ...LARGE, lossFraction: 0.01 })
   fleet.advance(12_000)
   fleet.cut.add('hall-1')
-  tell(fleet, 0, 'outside')
-  tell(fleet, 1, 'inside')
+  publishFact(fleet, 0, 'outside')
+  publishFact(fleet, 1, 'inside')
   fleet.advance(500)
   for (const gateway of fleet.gateways) assert.ok(gateway.known.has(gateway.zone === 'hall-1' ? 'inside' : 'outside'))
   fleet.advance(7000)
   fleet.cut.clear()
-  const tookMs = Math.max(fleet.untilKnown('inside', CONTACT_MS), fleet.untilKnown('outside', CONTACT_MS))
+  const tookMs = Math.max(fleet.advanceUntilKnown('inside', CONTACT_MS), fleet.advanceUntilKnown('outside', CONTACT_MS))
   context.diagnostic(`${tookMs} ms after the cut`)
   assert.ok(tookMs <= CONTACT_MS, `known after ${tookMs} ms`)
 })
 
 nodeTest.test('a gateway that restarts receives all facts in time, and its new facts reach the others', (context) => {
   const fleet = startFleet(LARGE)
-  for (let index = 0; index < 100; index += 1) tell(fleet, index, `fact-${index}`)
+  for (let index = 0; index < 100; index += 1) publishFact(fleet, index, `fact-${index}`)
   fleet.advance(2000)
   const restarted = fleet.gateways[7] as Gateway
   fleet.restart(restarted)
-  const tookMs = Math.max(...Array.from({ length: 100 }, (_, index) => fleet.untilKnown(`fact-${index}`, CONTACT_MS)))
+  const tookMs = Math.max(...Array.from({ length: 100 }, (_, index) => fleet.advanceUntilKnown(`fact-${index}`, CONTACT_MS)))
   context.diagnostic(`${tookMs} ms`)
   assert.ok(tookMs <= CONTACT_MS, `known after ${tookMs} ms`)
-  tell(fleet, 7, 'new')
-  assert.ok(fleet.untilKnown('new', CONTACT_MS) <= CONTACT_MS)
+  publishFact(fleet, 7, 'new')
+  assert.ok(fleet.advanceUntilKnown('new', CONTACT_MS) <= CONTACT_MS)
 })
 
 nodeTest.test('an idle fleet without facts sends nothing, one with facts little, and a burst stays within the bytes for control', (context) => {
@@ -182,7 +182,7 @@
   const calls = Array.from({ length: 4 }, (_, index) => `fingerprin${index}`)
   reset()
   for (let end = 0; end < 20; end += 1) {
-    for (let gateway = 0; gateway < 5; gateway += 1) tell(fleet, (end * 7 + gateway * 13) % 100, ['e', `i-${end}`, gateway, ...calls])
+    for (let gateway = 0; gateway < 5; gateway += 1) publishFact(fleet, (end * 7 + gateway * 13) % 100, ['e', `i-${end}`, gateway, ...calls])
     fleet.advance(50)
   }
   context.diagnostic(`20 ends within a second, each sent by 5 gateways: ${busiest()} bytes in at the busiest one`)
@@ -225,9 +225,9 @@
 nodeTest.test('the digest of consecutive facts never equals that of no facts for a gateway that restarts', () => {
   for (let seed = 1; seed <= 40; seed += 1) {
     const fleet = startFleet({ halls: 1, gatewaysPerHall: 2, lossFraction: 0 }, seed)
-    for (const fact of ['one', 'two', 'three', 'four']) tell(fleet, 0, fact)
+    for (const fact of ['one', 'two', 'three', 'four']) publishFact(fleet, 0, fact)
     fleet.advance(1000)
     fleet.restart(fleet.gateways[1] as Gateway)
-    assert.ok(fleet.untilKnown('four', CONTACT_MS) <= CONTACT_MS, `seed ${seed}`)
+    assert.ok(fleet.advanceUntilKnown('four', CONTACT_MS) <= CONTACT_MS, `seed ${seed}`)
   }
 })
--- a/packages/spread/src/createGossip/faults.test.ts
+++ b/packages/spread/src/createGossip/faults.test.ts
@@ -15,9 +15,11 @@
 const RELAYED = { gateways: 40, agents: 30, halls: 2 }
 const START_MS = 300
 const SETTLE_MS = 4000
+/** Maximum age of reports while a hall switches between direct datagrams and relays. */
 const CHANGING_AGE_MS = 1600
+/** Longer than a member may be silent and still count as live. */
 const SILENT_MS = 8000
-/** A relay is replaced within this time, and its hall's digests go on. */
+/** A relay is replaced within this time, and the digests of its hall continue. */
 const REPLACED_MS = 1500
 /** Maximum age of reports of other halls while all relays are live. */
 const USUAL_AGE_MS = 1000
@@ -27,14 +29,15 @@
 const FROZEN_SAMPLE_MS = 20
 /** Longest gap between heartbeats of 27 members that each send one every 2 s, at phases by the hash of their hosts. */
 const HEARTBEAT_GAP_MS = 400
-const STORE_TOLD_MS = 300
+/** Gateways of a hall hear of a lost or regained store within this time. */
+const STORE_ANNOUNCED_MS = 300
 /** Time for the first heartbeat to a seed, its answer, and the answers of the members that it names. */
 const RESTARTED_MS = 100
 /** Gateways of all halls hear of a pause within this time. */
 const PAUSE_MS = 80
 /** Three heartbeats in a row are lost once in 8,000 times, and the next one corrects the view. */
 const MISJUDGED_FRACTION = 0.0005
-/** The same with one datagram in ten lost on each of up to five hops. */
+/** The same for digests, with one datagram in ten lost on each of up to five hops. */
 const FAR_MISJUDGED_FRACTION = 0.005
 /** Delay of the late heartbeat, and the bound for the transit of the fastest one. */
 const LATE_MS = 400
@@ -43,8 +46,8 @@
 
 function knowsAll (fleet: fleetTesting.TestFleet, where: 'near' | 'far'): boolean {
   return fleet.daemons.every((daemon) => {
-    const halls = fleet.daemons.filter((each) => each !== daemon && (each.zone === daemon.zone) === (where === 'near'))
-    return fleetTesting.countLive(daemon)[where] === halls.length
+    const others = fleet.daemons.filter((each) => each !== daemon && (each.zone === daemon.zone) === (where === 'near'))
+    return fleetTesting.countLive(daemon)[where] === others.length
   })
 }
 
@@ -99,7 +102,7 @@
   })
 }
 
-nodeTest.test('a hall that is cut off goes on alone, and all halls know each other again after the cut', async (context) => {
+nodeTest.test('members of a hall that is cut off still know each other, and all halls know each other again after the cut', async (context) => {
   const fleet = await startSettled(context, SMALL)
   const zones = new Map(fleet.daemons.map((daemon) => [daemon.host, daemon.zone]))
   fleet.block((from, to) => (zones.get(from) === HALL) !== (zones.get(to) === HALL))
@@ -128,7 +131,7 @@
   assert.ok(healedMs <= 5000, `${healedMs} ms`)
 })
 
-nodeTest.test('a relay that freezes is replaced, and the reports of its hall go on', async (context) => {
+nodeTest.test('a relay that freezes is replaced, and the reports of its hall continue', async (context) => {
   const fleet = await startSettled(context, SMALL)
   const [first] = findRelays(fleet, HALL)
   fleet.network.cut(first as string)
@@ -189,7 +192,7 @@
 }
 
 for (const { name, count, boundMs } of [{ name: 'no member', count: 0, boundMs: 800 }, { name: 'a relay', count: 1, boundMs: 1600 }, { name: 'both relays', count: 2, boundMs: 4000 }]) {
-  nodeTest.test(`reports within a relayed hall go on when ${name} freezes`, async (context) => {
+  nodeTest.test(`reports within a relayed hall continue when ${name} freezes`, async (context) => {
     const fleet = await startSettled(context, RELAYED)
     const frozen = new Set(findRelays(fleet, HALL).slice(0, count))
     for (const host of frozen) fleet.network.cut(host)
@@ -202,7 +205,7 @@
 }
 
 /** The hall has one gateway more than the limit for direct datagrams, and one gateway freezes: members switch between both modes at different times. */
-nodeTest.test('reports go on in a hall that stops using relays, and starts again', async (context) => {
+nodeTest.test('reports continue in a hall that stops using relays, and when it uses them again', async (context) => {
   const fleet = await startSettled(context, { gateways: rates.DIRECT_GATEWAYS + 1, agents: 12, halls: 1 })
   const frozen = new Set(fleet.daemons.filter(({ role }) => role === 'gateway').slice(-1).map(({ host }) => host))
   for (const host of frozen) fleet.network.cut(host)
@@ -253,9 +256,9 @@
   const next = fleet.daemons.filter((daemon) => daemon !== lost && daemon.zone === HALL && daemon.role === 'gateway')
   for (const isStoreLost of [true, false]) {
     lost.state.isStoreLost = isStoreLost
-    const toldMs = advanceUntil(fleet, SILENT_MS, () => next.every((daemon) => daemon.gossip.peers().find((peer) => peer.heartbeat.host === lost.host)?.heartbeat.isStoreLost === isStoreLost))
-    context.diagnostic(`told after ${toldMs} ms`)
-    assert.ok(toldMs <= STORE_TOLD_MS, `${toldMs} ms`)
+    const announcedMs = advanceUntil(fleet, SILENT_MS, () => next.every((daemon) => daemon.gossip.peers().find((peer) => peer.heartbeat.host === lost.host)?.heartbeat.isStoreLost === isStoreLost))
+    context.diagnostic(`announced after ${announcedMs} ms`)
+    assert.ok(announcedMs <= STORE_ANNOUNCED_MS, `${announcedMs} ms`)
   }
 })
 
@@ -269,7 +272,7 @@
   assert.ok(knownMs <= RESTARTED_MS, `${knownMs} ms`)
 })
 
-nodeTest.test('a fleet whose seeds all die after the start goes on', async (context) => {
+nodeTest.test('the other daemons still know each other if all seeds die after the start', async (context) => {
   const fleet = await startSettled(context, SMALL)
   const seeds = fleet.daemons.filter((daemon) => ['10.40.0.1', '10.40.0.2', '10.40.0.3'].includes(daemon.host))
   for (const { host } of seeds) fleet.network.cut(host)
@@ -295,9 +298,9 @@
       samples += fleet.daemons.length - 1
     }
   })
-  const part = 1 - live / samples
-  context.diagnostic(`${part} of all judgements that a live peer is not live`)
-  assert.ok(part <= MISJUDGED_FRACTION, `${part} of all judgements`)
+  const misjudged = 1 - live / samples
+  context.diagnostic(`${misjudged} of all judgements that a live peer is not live`)
+  assert.ok(misjudged <= MISJUDGED_FRACTION, `${misjudged} of all judgements`)
 })
 
 nodeTest.test('agents consider agents of other halls live, although digests are rare and one datagram in ten is lost', async (context) => {
--- a/packages/spread/src/createGossip/index.ts
+++ b/packages/spread/src/createGossip/index.ts
@@ -38,7 +38,7 @@
   readonly onDrop?: (reason: wire.DropReason) => void
   /** Called at each tick, some times a second, so that other work can share the wake-up. */
   readonly onTick?: () => void
-  /** Receives comparisons with the clocks of other daemons while it is uncertain. */
+  /** Clock of this daemon. While it is uncertain, it gets comparisons with the clocks of other daemons, and received messages are not applied. */
   readonly clock: Pick<clock.SteadyClock, 'isUncertain' | 'noteOther'>
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
@@ -50,9 +50,12 @@
   readonly peers: () => readonly heartbeats.Peer[]
   /** Tells whether a peer was heard of within the silence limit. */
   readonly isLive: (peer: heartbeats.Peer) => boolean
-  /** Announces the state of this daemon at once to all peers, or to those of one role; changes of copies that follow each other closely are merged. */
+  /**
+   * With a role, announces the state of this daemon at once to the peers of that role in all halls. Without one, announces to all peers that the daemon
+   * is leaving, the first time that it is; otherwise only its changed copies, merging changes that follow each other closely.
+   */
   readonly sendNow: (role?: heartbeats.Heartbeat['role']) => void
-  /** Adds hosts that may run daemons. */
+  /** Adds hosts that may run daemons, and contacts them. */
   readonly addHosts: (hosts: readonly string[]) => void
   readonly stop: () => void
 }
@@ -156,11 +159,11 @@
     const { delayMs, isRestarted } = measureDelay(heartbeat.host, sentAt, now())
     const wasLive = isLiveHost(heartbeat.host) && !isRestarted
     table.noteHeartbeat(heartbeat, delayMs, now())
-    if (!wasLive) welcomePeer(heartbeat, from)
+    if (!wasLive) answerNewPeer(heartbeat, from)
     if (!wasLive && isNear(heartbeat.zone)) relay.announceNewMember(heartbeat.host)
     else if (isNear(heartbeat.zone) && viewHash !== getView().viewHash) hostExchange.sendHostsThrottled(heartbeat, from)
     if (isNewHall) for (const { host } of getView().candidates) for (const text of wire.formatHosts([heartbeat.host])) send(host, text)
-    // A sender that was live before was not welcomed above, and would otherwise hear of this daemon only at its next heartbeat.
+    // A sender that was live before got no heartbeat above, and would otherwise hear of this daemon only at its next periodic one.
     if (urgency === 'sender') {
       if (wasLive) broadcaster.sendHeartbeat(heartbeat.host)
     } else if (urgency !== 'nobody' && isNear(heartbeat.zone)) relay.announceMember(heartbeat.host, urgency)
@@ -179,7 +182,7 @@
     }
     const { delayMs, isRestarted } = measureDelay(from, sentAt, now())
     table.noteHeartbeat({ ...member.heartbeat, engine }, delayMs, now())
-    if (isRestarted) welcomePeer(member.heartbeat, from)
+    if (isRestarted) answerNewPeer(member.heartbeat, from)
     options.onHeartbeat({ ...member.heartbeat, versions: [] }, delayMs, 0)
   }
 
@@ -248,7 +251,7 @@
   }
 
   /** Sends a new peer a heartbeat of this daemon, and hosts of its hall and of other halls. */
-  function welcomePeer (newPeer: heartbeats.Heartbeat, from: string): void {
+  function answerNewPeer (newPeer: heartbeats.Heartbeat, from: string): void {
     viewedAt = -Infinity
     broadcaster.sendFirstHeartbeat(newPeer.host, 'nobody')
     hostExchange.sendHosts(newPeer, from)
--- a/packages/spread/src/createGossip/traffic.test.ts
+++ b/packages/spread/src/createGossip/traffic.test.ts
@@ -22,27 +22,30 @@
   { gateways: 98, agents: 85, halls: 5 }
 ]
 const LARGE = { gateways: 370, agents: 910, halls: 8 }
-/** Gateways adopt a change within this time of each other; the positions of their other copies depend on their last answers of the store. */
+/** Gateways adopt a change within this time of each other; the revisions of their other copies depend on their last answers of the store. */
 const ADOPTION_MS = 60
 /** Maximum bytes per second that a daemon receives for one change a second: from two broadcasters of its hall, and one of each other hall. */
 const ONE_CHANGE_BYTES = 600
 const THREE_HALLS = { gateways: 39, agents: 45, halls: 3 }
-/** Maximum wake-ups per second, which are ticks and received datagrams, and maximum sent datagrams of an idle daemon that is no relay. */
+/** Wake-ups are checked in fleets of more members than this. */
 const LARGE_MEMBERS = 100
+/** Maximum wake-ups per second, which are ticks and received datagrams, and maximum sent datagrams per second of an idle daemon that is no relay. */
 const WAKE_UPS = { gateway: 45, agent: 25 }
 const DATAGRAMS_SENT = { gateway: 30, agent: 20 }
 const plans = process.env['EXCHANGE_LARGE'] === undefined ? SIZES : [LARGE]
 
-interface Row {
+/** Highest traffic of any daemon in bytes per second, and a description of the traffic of all. */
+interface TrafficSummary {
   readonly bytesIn: number
   readonly bytesOut: number
+  /** The higher one of `bytesIn` and `bytesOut`. */
   readonly worst: number
   readonly text: string
 }
 
-function measure (fleet: fleetTesting.TestFleet, label: string): Row {
+function measure (fleet: fleetTesting.TestFleet, label: string): TrafficSummary {
   const rate = (value: number): number => Math.round(value * SECOND_MS / MEASURED_MS)
-  const of = (role: string): string => {
+  const describeRole = (role: string): string => {
     const traffics = fleet.daemons.filter((daemon) => daemon.role === role).map((daemon) => daemon.traffic)
     const formatMeanAndMaximum = (pick: (traffic: fleetTesting.Traffic) => number): string => {
       const values = traffics.map(pick)
@@ -52,7 +55,7 @@
   }
   const bytesIn = rate(Math.max(...fleet.daemons.map(({ traffic }) => traffic.bytesIn)))
   const bytesOut = rate(Math.max(...fleet.daemons.map(({ traffic }) => traffic.bytesOut)))
-  const text = `${fleet.daemons.length} members, ${label}, a second, mean (most): ${of('gateway')}; ${of('agent')}; between regions ${rate(fleet.network.counts.regionBytes)} B`
+  const text = `${fleet.daemons.length} members, ${label}, a second, mean (most): ${describeRole('gateway')}; ${describeRole('agent')}; between regions ${rate(fleet.network.counts.regionBytes)} B`
   return { bytesIn, bytesOut, worst: Math.max(bytesIn, bytesOut), text }
 }
 
@@ -124,7 +127,7 @@
   }
 })
 
-nodeTest.test('a change is announced by a few members only, also while their unchanged copies are at different positions', async (context) => {
+nodeTest.test('a change is announced by a few members only, also while their unchanged copies are at different revisions', async (context) => {
   const fleet = await fleetTesting.startFleet(context, THREE_HALLS)
   const gateways = fleet.daemons.filter((daemon) => daemon.role === 'gateway')
   const random = fleetTesting.createRandom()
--- a/packages/spread/src/openDatagrams/index.ts
+++ b/packages/spread/src/openDatagrams/index.ts
@@ -7,7 +7,7 @@
   readonly close: () => void
 }
 
-/** Opens the socket of a daemon and passes on each received datagram. */
+/** Opens the socket of a daemon and passes on each received datagram with the address of its sender. Rejects if the own address cannot be bound. */
 export type OpenDatagrams = (onDatagram: (bytes: Buffer, from: string) => void) => Promise<DatagramSocket>
 
 /**
--- a/packages/transfer/src/chooseRequest/index.ts
+++ b/packages/transfer/src/chooseRequest/index.ts
@@ -64,7 +64,10 @@
   return null
 }
 
-/** Estimates the uploads waiting at a peer: the reported backlog, less the uploads completed since, plus this node's open requests. */
+/**
+ * Estimates the load of a peer in uploads: the reported backlog, less the uploads completed since, plus two for each open request of this node. A random
+ * part of up to {@link LOAD_TOLERANCE} varies the order of equally loaded peers.
+ */
 function estimateLoad (state: ChoiceState, peer: transfer.PeerState): number {
   const completedSince = state.uploadMs > 0 ? (state.now - peer.backlogUpdatedAt) / state.uploadMs : 0
   return Math.max(0, peer.backlog - completedSince) + 2 * peer.outstanding + state.random() * LOAD_TOLERANCE
@@ -74,7 +77,7 @@
   return peer.requestScope !== 'nothing' && peer.suspendedUntil <= state.now && peer.outstanding < state.requestsPerPeer
 }
 
-/** Wanted chunks that may be requested from at least one of the peers. */
+/** Finds the wanted chunks that may be requested from at least one of the peers. */
 function findAvailableChunks (state: ChoiceState, peers: readonly transfer.PeerState[]): bitmaps.Bitmap {
   const available = new Uint8Array(state.wanted.length)
   for (const peer of peers) {
--- a/packages/transfer/src/createChunkStore/index.ts
+++ b/packages/transfer/src/createChunkStore/index.ts
@@ -9,18 +9,20 @@
   readonly digest: types.Digest
   readonly manifest: transfer.Manifest
   readonly bitmap: bitmaps.Bitmap
+  /** Number of chunks held. */
   readonly count: () => number
   readonly isComplete: () => boolean
   readonly has: (chunk: number) => boolean
   readonly get: (chunk: number) => Buffer | undefined
   /** Stores the bytes if they match the digest of the chunk. */
   readonly put: (chunk: number, bytes: Buffer) => types.Outcome<null, types.DigestMismatchError>
+  /** Numbers of the chunks that are not held, in ascending order. */
   readonly missing: () => number[]
 }
 
 /** All versions that the node holds, completely or partially. */
 export interface ChunkStore {
-  /** Reserves memory for a version and adds the chunks that it shares with versions already held. */
+  /** Opens a version, unless it does not fit in memory beside all open ones; it begins with the chunks that it shares with them. */
   readonly open: (digest: types.Digest, manifest: transfer.Manifest) => types.Outcome<Holding, StoreFullError>
   readonly find: (digest: types.Digest) => Holding | undefined
   readonly drop: (digest: types.Digest) => void
@@ -103,7 +105,7 @@
     }
   }
 
-  /** Bytes that all open versions and the given one need when complete; a shared chunk counts once. */
+  /** Computes the bytes that all open versions and the given one need when complete. A shared chunk counts once, and a last chunk in full although it may be shorter. */
   function computeRequiredBytes (manifest: transfer.Manifest): number {
     const sizes = new Map<types.Digest, number>()
     for (const each of [...holdings.values()].map((holding) => holding.manifest).concat(manifest)) {
--- a/packages/transfer/src/createDownload/index.ts
+++ b/packages/transfer/src/createDownload/index.ts
@@ -90,7 +90,7 @@
 const MINIMUM_TIMEOUT_MS = 3000
 const MAXIMUM_TIMEOUT_MS = 10_000
 const ORIGIN_TIMEOUT_MS = 30_000
-/** A request that takes this many times the average is hedged: the chunk is requested from another peer, too. */
+/** A request that takes this many times the average is hedged: the chunk is requested from another peer too. */
 const HEDGE_FACTOR = 3
 const MINIMUM_HEDGE_MS = 1000
 const TIMEOUT_FACTOR = 8
@@ -144,7 +144,8 @@
   let openPeerRequests = 0
   let originFailures = 0
   let originSuspendedUntil = 0
-  let averageMs = 0
+  /** Moving averages of the time of a request to a peer, and of the time that a peer needs for one upload; 0 while unknown. */
+  let averageRequestMs = 0
   let uploadMs = 0
 
   function setPolicy (next: transfer.TransferPolicy, members: readonly transfer.Peer[]): void {
@@ -194,7 +195,7 @@
     counts.requests += 1
     const startedAt = now()
     requestStartedAt.set(chunk, startedAt)
-    const answer = await requests.fetchChunk(peer, digest, chunk, bitmaps.encodeBitmap(holding.bitmap), computeTimeout(), abort.signal)
+    const answer = await requests.fetchChunk(peer, digest, chunk, bitmaps.encodeBitmap(holding.bitmap), computeTimeoutMs(), abort.signal)
     peer.outstanding -= 1
     await handlePeerAnswer(chunk, peer, answer, now() - startedAt)
     openPeerRequests -= 1
@@ -209,7 +210,7 @@
     peer.backlog = answer.report.backlog
     peer.backlogUpdatedAt = now()
     if (answer.outcome.ok) {
-      averageMs = updateAverage(averageMs, elapsedMs)
+      averageRequestMs = updateAverage(averageRequestMs, elapsedMs)
       uploadMs = updateAverage(uploadMs, elapsedMs / (answer.report.backlog + 1))
       await storePeerChunk(chunk, answer.outcome.value, peer)
     } else if (answer.outcome.error instanceof fetchChunk.ChunkRefusedError) {
@@ -241,10 +242,10 @@
     options.onEvent({ event: 'chunk-corrupt', digest, chunk, from: peer.node, reason: stored.error.message })
   }
 
-  /** A request times out after several times the average duration of requests, within fixed bounds. */
-  function computeTimeout (): number {
-    if (averageMs === 0) return FIRST_TIMEOUT_MS
-    return Math.min(MAXIMUM_TIMEOUT_MS, Math.max(MINIMUM_TIMEOUT_MS, TIMEOUT_FACTOR * averageMs))
+  /** Computes the timeout of a request to a peer: several times the average duration of such requests, within fixed bounds. */
+  function computeTimeoutMs (): number {
+    if (averageRequestMs === 0) return FIRST_TIMEOUT_MS
+    return Math.min(MAXIMUM_TIMEOUT_MS, Math.max(MINIMUM_TIMEOUT_MS, TIMEOUT_FACTOR * averageRequestMs))
   }
 
   async function readFromOrigin (chunk: number): Promise<void> {
@@ -303,7 +304,7 @@
   /** Once all missing chunks are requested, marks those whose requests take far longer than average as wanted again, each once. */
   function hedgeSlowRequests (): void {
     if (bitmaps.countBits(wanted) > 0) return
-    const limit = now() - Math.max(MINIMUM_HEDGE_MS, HEDGE_FACTOR * averageMs)
+    const limit = now() - Math.max(MINIMUM_HEDGE_MS, HEDGE_FACTOR * averageRequestMs)
     for (const [chunk, startedAt] of requestStartedAt) {
       if (startedAt > limit || hedged.has(chunk)) continue
       hedged.add(chunk)
--- a/packages/transfer/src/createLinkPacer/index.ts
+++ b/packages/transfer/src/createLinkPacer/index.ts
@@ -6,7 +6,7 @@
   /** Waits until the bytes of weights have passed the link. */
   readonly take: (bytes: number) => Promise<void>
   /**
-   * Waits until bytes that were received over another link could have passed this one, too. Bytes pass both
+   * Waits until bytes that were received over another link could have passed this one too. Bytes pass both
    * links at the same time, so a link that was idle adds no delay.
    */
   readonly waitToReceive: (bytes: number) => Promise<void>
@@ -23,7 +23,7 @@
 /**
  * Creates a pacer that tracks the time at which the link becomes free.
  *
- * @param bytesPerSecond - The bandwidth limit; 0 for none.
+ * @param bytesPerSecond - The bandwidth limit; 0 for no limit.
  * @param now - Monotonic clock in milliseconds.
  * @returns The pacer.
  */
--- a/packages/transfer/src/createPeerRegistry/index.ts
+++ b/packages/transfer/src/createPeerRegistry/index.ts
@@ -69,11 +69,11 @@
     if (peer === undefined || bitmap === null) return
     for (let byte = 0; byte < bitmap.length; byte += 1) {
       const newBits = (bitmap[byte] ?? 0) & ~(peer.has[byte] ?? 0)
-      if (newBits !== 0) markHolderOfByte(peer, byte, newBits)
+      if (newBits !== 0) markHolderOfBits(peer, byte, newBits)
     }
   }
 
-  function markHolderOfByte (peer: transfer.PeerState, byte: number, newBits: number): void {
+  function markHolderOfBits (peer: transfer.PeerState, byte: number, newBits: number): void {
     for (let bit = 0; bit < BITS_PER_BYTE; bit += 1) {
       if ((newBits & (1 << bit)) !== 0) markHolder(peer, byte * BITS_PER_BYTE + bit)
     }
@@ -94,8 +94,8 @@
   function isAvailable (chunk: number, isImported: boolean, now: number): boolean {
     if (holders[chunk] === 0) return false
     for (const peer of peers.values()) {
-      const mayAsk = peer.requestScope === 'everything' || (peer.requestScope === 'imported' && isImported)
-      if (mayAsk && bitmaps.hasBit(peer.has, chunk) && peer.suspendedUntil <= now) return true
+      const mayRequest = peer.requestScope === 'everything' || (peer.requestScope === 'imported' && isImported)
+      if (mayRequest && bitmaps.hasBit(peer.has, chunk) && peer.suspendedUntil <= now) return true
     }
     return false
   }
--- a/packages/transfer/src/createSwarmPolicy/index.ts
+++ b/packages/transfer/src/createSwarmPolicy/index.ts
@@ -16,7 +16,7 @@
   readonly originBytesPerSecond: number
   /** Monotonic time in milliseconds at which the transfer began on this node. */
   readonly startedAt: number
-  /** Milliseconds after which the next node in order queries the provider of an overdue chunk. */
+  /** Milliseconds after which the next node in order queries the provider of an overdue chunk; 3000 by default. */
   readonly takeOverDelayMs?: number
   /** Whether the origin allowance permits reading again what an unreachable provider may have read already; true if not given. */
   readonly mayReadAgain?: (provider: types.NodeId) => boolean
@@ -56,6 +56,7 @@
 
   const isImporter = (chunk: number): boolean => rankHall(chunk)[0]?.node === self.node || takenOver.has(chunk)
 
+  /** Finds the origin reader of a chunk for the whole group. */
   function findReader (chunk: number): transfer.Peer | undefined {
     if (!readers.has(chunk)) readers.set(chunk, membership.pickByRendezvous(formatChunkKey(chunk), groupMembers, (peer) => peer.node))
     return readers.get(chunk)
@@ -82,6 +83,7 @@
     return readsOrigin(chunk) ? [...findImportersOfOtherHalls(chunk), ...hallTargets] : hallTargets
   }
 
+  /** The hall's first node queries the origin reader one delay after the time of the read, and each further node the one before it another delay later. */
   function findOverdueProvider (chunk: number, now: number): types.NodeId | null {
     const ranked = rankHall(chunk)
     const rank = ranked.findIndex((peer) => peer.node === self.node)
--- a/packages/transfer/src/createTransfer/index.ts
+++ b/packages/transfer/src/createTransfer/index.ts
@@ -8,11 +8,13 @@
 
 /** A version that the node is to hold. */
 export interface WantedVersion {
+  /** Digest of the manifest. */
   readonly digest: types.Digest
+  /** Path of the weights at the origin. */
   readonly source: string
   /** Nodes to which requests may be sent. */
   readonly peers: readonly transfer.Peer[]
-  /** Changes whenever the peers or their ranks change; the policy is then created anew. */
+  /** Changes whenever the peers or their ranks change; a new policy is then created. */
   readonly signature: string
   readonly createPolicy: (manifest: transfer.Manifest, startedAt: number) => transfer.TransferPolicy
 }
@@ -29,8 +31,11 @@
   readonly requestsInFlight: number
   /** Maximum number of open requests of a download to one peer. */
   readonly perPeer: number
+  /** Monotonic clock in milliseconds. */
   readonly now: () => number
+  /** Random number from 0 to 1. */
   readonly random: () => number
+  /** Called once for each wanted version when the node holds all of its chunks. */
   readonly onComplete: (digest: types.Digest) => void
   readonly onEvent: (event: createDownload.DownloadEvent | ManifestEvent) => void
 }
@@ -55,12 +60,13 @@
 export interface Transfer {
   /** Replaces the wanted versions, highest priority first; downloads of versions no longer wanted stop at once. */
   readonly setWanted: (wanted: readonly WantedVersion[]) => void
+  /** Records the bitmap that a node sent, in base64. */
   readonly noteHave: (digest: types.Digest, node: types.NodeId, have: string) => void
   /** Records that a chunk was sent to a node. */
   readonly noteSent: (digest: types.Digest, node: types.NodeId, chunk: number) => void
   /** Returns a few nodes known to hold a chunk. */
   readonly findHolders: (digest: types.Digest, chunk: number) => readonly types.NodeId[]
-  /** Answers the query of another node for the state of a chunk. */
+  /** Answers the query of another node for the state of a chunk; `successor` is the node that would take it over, if any. */
   readonly answerProvider: (digest: types.Digest, chunk: number, successor: types.NodeId | null) => transfer.ProviderAnswer
   readonly progress: () => readonly TransferProgress[]
   /** Number of open requests of all downloads. */
@@ -82,6 +88,7 @@
 const WINDOW_INCREASE = 0.5
 const WINDOW_DECREASE = 0.9
 const TICKS_PER_OVERDUE_CHECK = 5
+/** Time after which a download that could not start is tried again. */
 const MANIFEST_RETRY_MS = 500
 
 /**
--- a/packages/transfer/src/createTransfer/test.ts
+++ b/packages/transfer/src/createTransfer/test.ts
@@ -95,9 +95,9 @@
       provider.transfers.noteHave(digest, self.node, have)
       const holding = provider.store.find(digest)
       const bytes = holding?.get(chunk)
-      const statement = { ...emptyReport, have: holding === undefined ? '' : transfer.encodeBitmap(holding.bitmap) }
-      if (bytes === undefined) return { report: statement, outcome: types.fail(new transfer.ChunkRefusedError('status 404')) }
-      return { report: statement, outcome: types.succeed(faults.corrupting.has(peer.node) ? Buffer.from('wrong!!!') : bytes) }
+      const report = { ...emptyReport, have: holding === undefined ? '' : transfer.encodeBitmap(holding.bitmap) }
+      if (bytes === undefined) return { report, outcome: types.fail(new transfer.ChunkRefusedError('status 404')) }
+      return { report, outcome: types.succeed(faults.corrupting.has(peer.node) ? Buffer.from('wrong!!!') : bytes) }
     },
     announce: (peer, digest, have) => { if (!faults.unreachable.has(self.node) && !faults.withoutAnnouncements.has(peer.node)) nodes.get(peer.node)?.transfers.noteHave(digest, self.node, have) },
     askProvider: async (peer, digest, chunk, wouldTakeOver) => faults.unreachable.has(peer.node) ? 'unreachable' : nodes.get(peer.node)?.transfers.answerProvider(digest, chunk, wouldTakeOver ? self.node : null) ?? 'unreachable'
--- a/packages/transfer/src/createUploader/index.ts
+++ b/packages/transfer/src/createUploader/index.ts
@@ -15,7 +15,7 @@
   readonly uplink: createLinkPacer.LinkPacer
   /** Uploads that may wait at a time; further requests are refused at once. */
   readonly slots: number
-  /** Called with the bitmap that a peer sent along with its request. */
+  /** Called with the bitmap, in base64, that a peer sent along with its request. */
   readonly onHave: (digest: types.Digest, node: types.NodeId, have: string) => void
   /** Called when a chunk is sent to a peer. */
   readonly onSent: (digest: types.Digest, node: types.NodeId, chunk: number) => void
@@ -56,7 +56,8 @@
  * Creates the uploader of a node.
  *
  * @param options - Store, uplink and limits.
- * @returns A koa middleware for `GET /chunks/DIGEST/NUMBER` and `GET /manifests/DIGEST`.
+ * @returns A koa middleware for `GET /chunks/DIGEST/NUMBER` and `GET /manifests/DIGEST`. It answers 403 to a requester of another identity, 404 if
+ * this node does not hold the chunk or the manifest, and 503 with other holders if all slots are taken.
  */
 export function createUploader (options: UploaderOptions): Uploader {
   const manifests = new WeakMap<createChunkStore.Holding, Buffer>()
--- a/packages/transfer/src/fetchChunk/index.ts
+++ b/packages/transfer/src/fetchChunk/index.ts
@@ -3,10 +3,13 @@
 import * as types from '@switchridge/types'
 import * as rpc from '@switchridge/rpc'
 
+/** The node that sends a request. */
 export const NODE_HEADER = 'x-switchridge-node'
+/** Chunks that the sender of a request or an answer holds: a bitmap in base64. */
 export const HAVE_HEADER = 'x-switchridge-have'
 /** Other nodes that hold the chunk; sent with a refusal. */
 export const HOLDERS_HEADER = 'x-switchridge-holders'
+/** Number of uploads that wait or are being sent at the answering node. */
 export const BACKLOG_HEADER = 'x-switchridge-backlog'
 
 /** The peer answered without the chunk: it is busy or does not hold it. */
@@ -16,7 +19,7 @@
 export interface PeerReport {
   /** Its bitmap in base64; empty when not reported. */
   readonly have: string
-  /** Number of its waiting uploads. */
+  /** Number of its uploads that wait or are being sent. */
   readonly backlog: number
   /** Other nodes that hold the chunk, if the peer has no free slot. */
   readonly holders: readonly types.NodeId[]
@@ -107,7 +110,7 @@
  * @param from - Offset of the first byte.
  * @param length - Number of bytes.
  * @param options - Connection pools and limits.
- * @returns The bytes received.
+ * @returns The bytes received, not verified, with an error if the range is incomplete.
  */
 export async function fetchOriginRange (url: string, from: number, length: number, options: Omit<FetchOptions, 'identity' | 'self'>): Promise<OriginAnswer> {
   const parts: Buffer[] = []
--- a/packages/transfer/src/types/index.ts
+++ b/packages/transfer/src/types/index.ts
@@ -4,7 +4,9 @@
 
 /** Describes one version of weights. The table pins the digest of the manifest itself. */
 export interface Manifest {
+  /** Size of the whole file. */
   readonly bytes: number
+  /** Size of a chunk; the last one may be shorter. */
   readonly chunkBytes: number
   /** SHA-256 of the whole file. */
   readonly fileDigest: types.Digest
@@ -26,7 +28,7 @@
   requestScope: RequestScope
   /** Open requests from this node to the peer. */
   outstanding: number
-  /** Number of waiting uploads that the peer last reported. */
+  /** Number of uploads, waiting or being sent, that the peer last reported. */
   backlog: number
   /** Monotonic time in milliseconds of that report. */
   backlogUpdatedAt: number
@@ -63,5 +65,8 @@
 /** Chunks that may be requested from a peer. */
 export type RequestScope = 'everything' | 'imported' | 'nothing'
 
-/** State of a chunk at the node that should provide it. */
+/**
+ * State of a chunk at the node that should provide it. `reading`: it does not hold the chunk yet, but still expects to; `released`: it does not obtain
+ * the chunk, so that the asking node may take it over; `unreachable`: it did not answer.
+ */
 export type ProviderAnswer = 'has' | 'reading' | 'released' | 'unreachable'
