--- a/packages/daemon/src/createCallQuarantine/index.ts
+++ b/packages/daemon/src/createCallQuarantine/index.ts
@@ -8,7 +8,7 @@
 /** Options of {@link createCallQuarantine}. */
 export interface CallQuarantineOptions extends Omit<createSharedQuarantine.SharedQuarantineOptions, 'onReportedEnd'> {
   readonly backEnds: () => readonly gateway.BackEnd[]
-  readonly book: Pick<gateway.BackEndBook, 'noteProcessEnded' | 'noteFailure'>
+  readonly book: Pick<gateway.BackEndTracker, 'noteProcessEnded' | 'noteFailure'>
   readonly probe: (address: types.Address, timeoutMs: number) => Promise<quarantine.ProbeResult>
 }
 
@@ -71,5 +71,5 @@
     if (ended !== undefined) book.noteFailure(ended.id)
   }
 
-  return { ...shared, noteCut }
+  return { ...shared, noteConnectionLost: noteCut }
 }
--- a/packages/daemon/src/createRateLimiter/index.ts
+++ b/packages/daemon/src/createRateLimiter/index.ts
@@ -104,12 +104,12 @@
 
   return {
     acquire,
-    readRoom: (backEnd, isLate) => {
+    readAllowance: (backEnd, isLate) => {
       if (record.isEmpty()) return null
       const limit = readLimit(backEnd)
       return limit === null || limit.perSecond === null ? null : { perSecond: limit.perSecond, waitMs: client.waitMs(limit.life, isLate) }
     },
-    noteAnswer: ({ id, bornAt }, rate, sentAt) => { record.noteAnswer(types.formatLife(id, bornAt), rate, sentAt) },
+    noteResponse: ({ id, bornAt }, rate, sentAt) => { record.noteAnswer(types.formatLife(id, bornAt), rate, sentAt) },
     noteReported: ({ id, bornAt }, perSecond, heardAt) => { record.noteTold({ life: types.formatLife(id, bornAt), perSecond, heardAt }) },
     inForce: record.inForce,
     keepListed: () => { record.keepOnly(new Set(backEnds().map(({ id, bornAt }) => types.formatLife(id, bornAt)))) },
--- a/packages/daemon/src/createRateLimiter/size.test.ts
+++ b/packages/daemon/src/createRateLimiter/size.test.ts
@@ -46,7 +46,7 @@
     await fleet.pass(STARTUP_MS)
     const limiters = fleet.gateways.map((each) => each.limiter())
     const [backEnd] = fleet.gateways[0]?.parts().backEnds() as [gateway.BackEnd]
-    limiters[0]?.noteAnswer(backEnd, { kind: 'named', perSecond: LIMIT_PER_SECOND }, 0)
+    limiters[0]?.noteResponse(backEnd, { kind: 'named', perSecond: LIMIT_PER_SECOND }, 0)
     const knownMs = await fleet.passUntil(() => limiters.every((limiter) => limiter?.inForce().length === 1), CONVERGENCE_MS)
     assert.ok(knownMs <= CONVERGENCE_MS, `known everywhere after ${knownMs} ms`)
 
@@ -55,7 +55,7 @@
     const startedAt = Date.now()
     async function call (): Promise<void> {
       const limiter = limiters[Math.floor(random() * limiters.length)] as NonNullable<typeof limiters[number]>
-      if ((limiter.readRoom(backEnd, false)?.waitMs ?? 0) > 0) return
+      if ((limiter.readAllowance(backEnd, false)?.waitMs ?? 0) > 0) return
       if ((await limiter.acquire(backEnd, false)).isGranted) sent.push(Date.now() - startedAt)
     }
     for (let passed = 0; passed < SIMULATED_MS; passed += 1) {
--- a/packages/daemon/src/startGatewayRole/index.ts
+++ b/packages/daemon/src/startGatewayRole/index.ts
@@ -33,7 +33,7 @@
 export async function startGatewayRole (checked: settings.FleetSettings, environment?: createFleetParts.PartsEnvironment): Promise<fleetRole.FleetRole> {
   const parts = createFleetParts.createFleetParts(checked, environment)
   const { logger, metrics, now } = parts
-  const book = gateway.createBackEndBook(now)
+  const book = gateway.createBackEndTracker(now)
   const budgets = new Map<types.ServiceName, gateway.RetryBudget>()
   const errorBounds = new Map<types.ServiceName, gateway.ErrorBound>()
   let isLeaving = false
@@ -128,19 +128,19 @@
     const { model } = choice
     return gateway.chooseBackEnd({
       backEnds: parts.backEnds().filter((backEnd) => backEnd.service === choice.service),
-      book,
+      tracker: book,
       figures,
       zone: checked.zone,
       gateways: countLiveGateways(),
       model,
       promptTokens: choice.promptTokens,
       answerTokens: choice.answerTokens,
-      lastSendTo: (version) => model === null ? Infinity : parts.versions.lastSendTo(model, version),
+      lastBeginAt: (version) => model === null ? Infinity : parts.versions.lastSendTo(model, version),
       endsAt: now() + choice.remainingMs,
       pinnedVersion: choice.version,
       tried: choice.tried,
-      readRoom: (backEnd) => limiter.readRoom(backEnd, choice.isLate),
-      mayAsk: choice.mayAsk,
+      readAllowance: (backEnd) => limiter.readAllowance(backEnd, choice.isLate),
+      mayRequestPermit: choice.mayRequestPermit,
       now: now(),
       random: Math.random
     })
@@ -149,10 +149,10 @@
   const calls = gateway.createCallHandler({
     protocol: platform.createCallProtocol(),
     routes: parts.routes,
-    book,
+    tracker: book,
     choose: chooseBackEnd,
     budgetOf,
-    errorsOf: errorBoundOf,
+    errorBoundOf,
     sharedTargetOf: gateway.createSharedTargets(now).note,
     guard: callQuarantine,
     limiter,
@@ -182,7 +182,7 @@
     isLeaving = true
     const startedAt = now()
     const endsBy = startedAt + checked.limits.grace_seconds * types.MILLISECONDS_IN_SECOND - GRACE_RESERVE_MS
-    calls.leave(endsBy)
+    calls.drain(endsBy)
     gossip.sendNow()
     while (now() < endsBy) {
       await types.delay(DRAIN_POLL_MS)
--- a/packages/gateway/src/_lib/admitCall.ts
+++ b/packages/gateway/src/_lib/admitCall.ts
@@ -19,12 +19,12 @@
  * @param options - Prediction errors, shared targets, clock and random numbers.
  * @returns The decision.
  */
-export function admitCall (call: callState.CallState, choice: chooseBackEnd.Choice, utilization: number, options: Pick<callOptions.CallHandlerOptions, 'errorsOf' | 'sharedTargetOf' | 'now' | 'random'>): CallAdmission {
+export function admitCall (call: callState.CallState, choice: chooseBackEnd.Choice, utilization: number, options: Pick<callOptions.CallHandlerOptions, 'errorBoundOf' | 'sharedTargetOf' | 'now' | 'random'>): CallAdmission {
   const input = {
     firstEventMs: choice.discountedFirstEventMs,
     queuedAhead: choice.queuedAhead,
     utilization,
-    errorMs: options.errorsOf(call.service).read(),
+    errorMs: options.errorBoundOf(call.service).read(),
     targetMs: options.sharedTargetOf({ service: call.service, priority: call.route.priority, targetMs: call.route.targetMs }),
     elapsedMs: callState.readElapsedMs(call, options.now()),
     remainingMs: call.deadline.remainingMs(),
--- a/packages/gateway/src/_lib/answers.ts
+++ b/packages/gateway/src/_lib/answers.ts
@@ -47,7 +47,7 @@
     refuse: (status, reason, retryAfterMs) => {
       if (response.headersSent || response.destroyed) return
       const body = Buffer.from(`${reason}\n`)
-      writeHead(status, [...protocol.formatOwnAnswer(requestId, retryAfterMs), 'Content-Type', 'text/plain', 'Content-Length', String(body.length)])
+      writeHead(status, [...protocol.formatGatewayAnswer(requestId, retryAfterMs), 'Content-Type', 'text/plain', 'Content-Length', String(body.length)])
       response.end(body)
     },
     sendBuffered: (status, headers, body, isFramed) => {
--- a/packages/gateway/src/_lib/callOptions.ts
+++ b/packages/gateway/src/_lib/callOptions.ts
@@ -5,7 +5,7 @@
 import type * as rateLimits from '@switchridge/rate-limits'
 import type * as types from '@switchridge/types'
 import type * as chooseBackEnd from '../chooseBackEnd/index.js'
-import type * as createBackEndBook from '../createBackEndBook/index.js'
+import type * as createBackEndTracker from '../createBackEndTracker/index.js'
 import type * as createErrorBound from '../createErrorBound/index.js'
 import type * as createRetryBudget from '../createRetryBudget/index.js'
 import type * as createSharedTargets from '../createSharedTargets/index.js'
@@ -22,9 +22,9 @@
   readonly formatAttempt: (call: gateway.CallHead, attempt: gateway.AttemptHead) => string[]
   readonly readAnswer: (response: http.IncomingMessage, requestId: string) => gateway.AnswerHead
   /** Rate limit that a back end's response advertises. */
-  readonly readNamedRate: (response: http.IncomingMessage) => rateLimits.NamedRate
+  readonly readAdvertisedRate: (response: http.IncomingMessage) => rateLimits.NamedRate
   /** Headers of a response of the gateway itself. */
-  readonly formatOwnAnswer: (requestId: string, retryAfterMs: number | null) => string[]
+  readonly formatGatewayAnswer: (requestId: string, retryAfterMs: number | null) => string[]
 }
 
 /** Options of the handler of callers' requests. */
@@ -32,11 +32,11 @@
   readonly protocol: CallProtocol
   /** The current configuration, or null before the first one. */
   readonly routes: () => createRouteTable.RouteTable | null
-  readonly book: createBackEndBook.BackEndBook
+  readonly tracker: createBackEndTracker.BackEndTracker
   readonly choose: (choice: CallChoice) => chooseBackEnd.ChoiceOutcome
   readonly budgetOf: (service: types.ServiceName) => createRetryBudget.RetryBudget
   /** How much later than predicted recent calls of a service began. */
-  readonly errorsOf: (service: types.ServiceName) => createErrorBound.ErrorBound
+  readonly errorBoundOf: (service: types.ServiceName) => createErrorBound.ErrorBound
   /** Records a call; returns the target in milliseconds by which it and the calls that compete with it are admitted. */
   readonly sharedTargetOf: createSharedTargets.SharedTargets['note']
   readonly guard: guards.CallGuard
@@ -65,7 +65,7 @@
   /** Back ends that are passed over, because the call was already sent to them or they refused it a slot. */
   readonly tried: ReadonlySet<types.NodeId>
   /** Whether a rate-limit permit may be requested. */
-  readonly mayAsk: boolean
+  readonly mayRequestPermit: boolean
   /** Whether the call can no longer be answered in time; permits go to calls that can. */
   readonly isLate: boolean
   /** The only version of the weights that may serve the call; null for any permitted version. */
--- a/packages/gateway/src/_lib/loadSimulation.ts
+++ b/packages/gateway/src/_lib/loadSimulation.ts
@@ -3,7 +3,7 @@
 import * as standins from '@switchridge/standins'
 import * as types from '@switchridge/types'
 import * as chooseBackEnd from '../chooseBackEnd/index.js'
-import * as createBackEndBook from '../createBackEndBook/index.js'
+import * as createBackEndTracker from '../createBackEndTracker/index.js'
 import * as createErrorBound from '../createErrorBound/index.js'
 import * as createSharedTargets from '../createSharedTargets/index.js'
 import * as createSlotReservations from '../createSlotReservations/index.js'
@@ -101,7 +101,7 @@
 
 interface SimulatedGateway {
   readonly zone: string
-  readonly tracker: createBackEndBook.BackEndBook
+  readonly tracker: createBackEndTracker.BackEndTracker
   readonly errors: createErrorBound.ErrorBound
   readonly targets: createSharedTargets.SharedTargets
   /** When a permit of a rate-limited engine is expected to be available. */
@@ -123,7 +123,7 @@
   const engines = Array.from({ length: scenario.engines }, (_, at) => simulatedEngine.createSimulatedEngine(`engine-${at}`, zoneOf(at), at < (scenario.slow?.count ?? 0) ? scenario.slow?.pace ?? 1 : 1, figures, timeline))
   const backEnds = engines.map(({ backEnd }) => backEnd)
   const byId = new Map(engines.map((engine) => [engine.backEnd.id, engine]))
-  const gateways: readonly SimulatedGateway[] = Array.from({ length: scenario.gateways }, (_, at) => ({ zone: zoneOf(at), tracker: createBackEndBook.createBackEndBook(timeline.now), errors: createErrorBound.createErrorBound(timeline.now), targets: createSharedTargets.createSharedTargets(timeline.now), permitExpectedAt: new Map() }))
+  const gateways: readonly SimulatedGateway[] = Array.from({ length: scenario.gateways }, (_, at) => ({ zone: zoneOf(at), tracker: createBackEndTracker.createBackEndTracker(timeline.now), errors: createErrorBound.createErrorBound(timeline.now), targets: createSharedTargets.createSharedTargets(timeline.now), permitExpectedAt: new Map() }))
   const counts = STREAM_CLASSES.map(createCounts)
   const limit = scenario.limited ?? { count: 0, perSecond: 1, isEnforced: false }
   const limited = new Map(backEnds.slice(scenario.engines - limit.count).map(({ id }) => [id, [] as number[]]))
@@ -164,17 +164,17 @@
   function choose (from: SimulatedGateway, { kind, promptTokens, askedAt }: Call, tried: ReadonlySet<types.NodeId>): chooseBackEnd.ChoiceOutcome {
     return chooseBackEnd.chooseBackEnd({
       backEnds,
-      book: from.tracker,
+      tracker: from.tracker,
       figures,
       zone: from.zone,
       gateways: scenario.gateways,
       model: simulatedEngine.MODEL,
       promptTokens,
       answerTokens: kind.events * simulatedEngine.STEPS_PER_PASS,
-      lastSendTo: () => Infinity,
+      lastBeginAt: () => Infinity,
       endsAt: askedAt + CALL_TIMEOUT_MS,
-      readRoom: ({ id }) => readRoom(from, id),
-      mayAsk: true,
+      readAllowance: ({ id }) => readRoom(from, id),
+      mayRequestPermit: true,
       pinnedVersion: null,
       tried,
       now: timeline.now(),
@@ -249,7 +249,7 @@
     const { id } = choice.backEnd
     tried.add(id)
     const sentAt = timeline.now()
-    const open: createBackEndBook.OpenAttempt = { promptTokens: call.promptTokens, answerTokens: call.kind.events * simulatedEngine.STEPS_PER_PASS, sentAt, hasResponded: false }
+    const open: createBackEndTracker.OpenAttempt = { promptTokens: call.promptTokens, answerTokens: call.kind.events * simulatedEngine.STEPS_PER_PASS, sentAt, hasResponded: false }
     from.tracker.noteSent(id, open)
     const latencyMs = choice.backEnd.zone === from.zone ? HALL_LATENCY_MS : CROSS_HALL_LATENCY_MS
     timeline.at(sentAt + latencyMs, () => {
@@ -272,7 +272,7 @@
     })
   }
 
-  function noteFirstEvent (call: Call, open: createBackEndBook.OpenAttempt, from: SimulatedGateway, choice: chooseBackEnd.Choice): void {
+  function noteFirstEvent (call: Call, open: createBackEndTracker.OpenAttempt, from: SimulatedGateway, choice: chooseBackEnd.Choice): void {
     from.errors.note(choice.firstEventMs, timeline.now() - open.sentAt)
     open.hasResponded = true
     if (timeline.now() - call.askedAt <= call.kind.targetMs) call.counts.inTime += 1
--- a/packages/gateway/src/_lib/noteOutcome.ts
+++ b/packages/gateway/src/_lib/noteOutcome.ts
@@ -12,13 +12,13 @@
  * @param outcome - How the attempt ended.
  * @param options - Back end records, logger and counters.
  */
-export function noteOutcome (call: callState.CallState, choice: chooseBackEnd.Choice, outcome: runAttempt.AttemptOutcome, options: Pick<callOptions.CallHandlerOptions, 'book' | 'count' | 'logger'>): void {
+export function noteOutcome (call: callState.CallState, choice: chooseBackEnd.Choice, outcome: runAttempt.AttemptOutcome, options: Pick<callOptions.CallHandlerOptions, 'tracker' | 'count' | 'logger'>): void {
   const { id } = choice.backEnd
   options.count('attempts', { outcome: outcome.kind })
-  if (outcome.kind === 'done') options.book.noteSuccess(id)
-  else if (outcome.kind === 'not-run' && outcome.isGone) options.book.noteInstanceEnded(id)
-  else if (outcome.kind === 'not-run') options.book.noteFull(id)
-  else if (outcome.kind !== 'failed-answer') options.book.noteFailure(id)
+  if (outcome.kind === 'done') options.tracker.noteSuccess(id)
+  else if (outcome.kind === 'not-run' && outcome.isGone) options.tracker.noteInstanceEnded(id)
+  else if (outcome.kind === 'not-run') options.tracker.noteFull(id)
+  else if (outcome.kind !== 'failed-answer') options.tracker.noteFailure(id)
   if (outcome.kind === 'done') return
   const fingerprint = outcome.kind === 'broken' ? call.fingerprint() : undefined
   options.logger.info('attempt-failed', { id: call.head.requestId, backEnd: id, outcome: outcome.kind, reason: outcome.reason, fingerprint })
@@ -31,7 +31,7 @@
  * @param call - The call.
  * @param options - Prediction errors and clock.
  */
-export function noteUnansweredAttempt (call: callState.CallState, options: Pick<callOptions.CallHandlerOptions, 'errorsOf' | 'now'>): void {
+export function noteUnansweredAttempt (call: callState.CallState, options: Pick<callOptions.CallHandlerOptions, 'errorBoundOf' | 'now'>): void {
   const elapsedMs = options.now() - call.receivedAt
-  if (call.attempts === 1 && call.predictedMs !== null && elapsedMs > call.route.targetMs) options.errorsOf(call.service).note(call.predictedMs, elapsedMs)
+  if (call.attempts === 1 && call.predictedMs !== null && elapsedMs > call.route.targetMs) options.errorBoundOf(call.service).note(call.predictedMs, elapsedMs)
 }
--- a/packages/gateway/src/_lib/runAttempt.ts
+++ b/packages/gateway/src/_lib/runAttempt.ts
@@ -1,7 +1,7 @@
 /** Runs one attempt, from its connection to the end of its response. */
 import type * as http from 'node:http'
 import type * as chooseBackEnd from '../chooseBackEnd/index.js'
-import type * as createBackEndBook from '../createBackEndBook/index.js'
+import type * as createBackEndTracker from '../createBackEndTracker/index.js'
 import * as readBody from '../readBody/index.js'
 import type * as createEventSplitter from '../createEventSplitter/index.js'
 import * as sendAttempt from '../sendAttempt/index.js'
@@ -87,7 +87,7 @@
  * @param options - Protocol, records and clock.
  * @returns How the attempt ended.
  */
-export async function runAttempt (call: callState.CallState, reply: answers.Reply, stream: StreamState, choice: chooseBackEnd.Choice, open: createBackEndBook.OpenAttempt, options: Options): Promise<AttemptOutcome> {
+export async function runAttempt (call: callState.CallState, reply: answers.Reply, stream: StreamState, choice: chooseBackEnd.Choice, open: createBackEndTracker.OpenAttempt, options: Options): Promise<AttemptOutcome> {
   const { head, route } = call
   const attempt = sendAttempt.sendAttempt({
     address: choice.backEnd.address,
@@ -104,7 +104,7 @@
     }),
     body: call.body,
     connectTimeoutMs: CONNECT_TIMEOUT_MS,
-    onConnect: (tookMs) => { options.book.noteConnect(choice.backEnd.id, tookMs) }
+    onConnect: (tookMs) => { options.tracker.noteConnect(choice.backEnd.id, tookMs) }
   })
   let isAborted = false
   call.setAbortAttempt(abort)
@@ -113,7 +113,7 @@
   const cancelWithdrawal = scheduleWithdrawal()
   const start = await attempt.start
   if (start.kind === 'not-sent') {
-    options.book.noteConnect(choice.backEnd.id, CONNECT_TIMEOUT_MS)
+    options.tracker.noteConnect(choice.backEnd.id, CONNECT_TIMEOUT_MS)
     return finish({ kind: 'not-sent', reason: start.reason })
   }
   call.attempts += 1
@@ -133,9 +133,9 @@
    */
   function noteRate (read: gateway.AnswerHead, response: http.IncomingMessage): void {
     if (read.kind === 'foreign' || (read.kind === 'not-run' && read.reason === 'wrong-instance')) return
-    const rate = options.protocol.readNamedRate(response)
+    const rate = options.protocol.readAdvertisedRate(response)
     const isSuccess = read.kind === 'answered' && read.status < FIRST_ERROR_STATUS
-    if (isSuccess || rate.kind !== 'none') options.limiter.noteAnswer(choice.backEnd, rate, open.sentAt)
+    if (isSuccess || rate.kind !== 'none') options.limiter.noteResponse(choice.backEnd, rate, open.sentAt)
   }
 
   /** Aborts the attempt from this side. */
@@ -162,7 +162,7 @@
     call.hasAttemptResponded = true
     if (call.firstEventAt !== null) return
     call.firstEventAt = options.now()
-    if (call.attempts === 1 && call.predictedMs !== null) options.errorsOf(call.service).note(call.predictedMs, call.firstEventAt - call.receivedAt)
+    if (call.attempts === 1 && call.predictedMs !== null) options.errorBoundOf(call.service).note(call.predictedMs, call.firstEventAt - call.receivedAt)
   }
 
   function broken (reason: string, isClosedByPeer: boolean): AttemptOutcome {
--- a/packages/gateway/src/_lib/runAttempts.ts
+++ b/packages/gateway/src/_lib/runAttempts.ts
@@ -1,6 +1,6 @@
 /** Sends a call to one back end after another until it has its final response. */
 import type * as types from '@switchridge/types'
-import type * as createBackEndBook from '../createBackEndBook/index.js'
+import type * as createBackEndTracker from '../createBackEndTracker/index.js'
 import type * as chooseBackEnd from '../chooseBackEnd/index.js'
 import * as createEventSplitter from '../createEventSplitter/index.js'
 import * as admitCall from './admitCall.js'
@@ -136,7 +136,7 @@
       answerTokens: call.head.answerTokens,
       remainingMs: call.deadline.remainingMs(),
       tried,
-      mayAsk: permitsRefused < MAXIMUM_PERMITS_REFUSED,
+      mayRequestPermit: permitsRefused < MAXIMUM_PERMITS_REFUSED,
       isLate,
       version: stream.version
     })
@@ -161,17 +161,17 @@
 
   async function attempt (choice: chooseBackEnd.Choice): Promise<runAttempt.AttemptOutcome> {
     call.tried.add(choice.backEnd.id)
-    const open: createBackEndBook.OpenAttempt = {
+    const open: createBackEndTracker.OpenAttempt = {
       promptTokens: call.head.promptTokens,
       answerTokens: call.head.answerTokens,
       sentAt: options.now(),
       hasResponded: false
     }
-    options.book.noteSent(choice.backEnd.id, open)
+    options.tracker.noteSent(choice.backEnd.id, open)
     const outcome = await runAttempt.runAttempt(call, reply, stream, choice, open, options)
-    options.book.noteEnded(choice.backEnd.id, open)
+    options.tracker.noteEnded(choice.backEnd.id, open)
     if (!call.isCallerGone() && !call.isExpired() && !call.isWithdrawn()) noteOutcome.noteOutcome(call, choice, outcome, options)
-    if (outcome.kind === 'broken' && outcome.isClosedByPeer) await options.guard.noteCut(choice.backEnd, call.fingerprint())
+    if (outcome.kind === 'broken' && outcome.isClosedByPeer) await options.guard.noteConnectionLost(choice.backEnd, call.fingerprint())
     if (outcome.kind === 'done' && options.guard.isActive()) options.guard.noteServed(call.fingerprint())
     if (outcome.kind === 'broken' && !open.hasResponded) noteOutcome.noteUnansweredAttempt(call, options)
     return outcome
--- a/packages/gateway/src/chooseBackEnd/index.ts
+++ b/packages/gateway/src/chooseBackEnd/index.ts
@@ -2,13 +2,13 @@
 import type * as types from '@switchridge/types'
 import type * as gateway from '../types/index.js'
 import type * as limiters from '../types/limiter.js'
-import type * as createBackEndBook from '../createBackEndBook/index.js'
+import type * as createBackEndTracker from '../createBackEndTracker/index.js'
 import * as predictFirstEvent from '../predictFirstEvent/index.js'
 
 /** Input of the choice. */
 export interface ChoiceInput {
   readonly backEnds: readonly gateway.BackEnd[]
-  readonly book: createBackEndBook.BackEndBook
+  readonly tracker: createBackEndTracker.BackEndTracker
   readonly figures: gateway.EngineFigures | null
   readonly zone: string
   /** Number of gateways that send calls, including this one. */
@@ -18,7 +18,7 @@
   /** Expected length of the response in tokens; 0 if unknown. */
   readonly answerTokens: number
   /** Monotonic time in milliseconds by which a call must begin on a given version of the model's weights. */
-  readonly lastSendTo: (version: number) => number
+  readonly lastBeginAt: (version: number) => number
   /** Monotonic time in milliseconds of the call's deadline. */
   readonly endsAt: number
   /** The only version that may serve a resumed stream; null if any version that is new enough may serve. */
@@ -26,9 +26,9 @@
   /** Back ends that this call was already sent to. */
   readonly tried: ReadonlySet<types.NodeId>
   /** Remaining rate allowance of a back end that advertises a rate limit; null for one without a limit. */
-  readonly readRoom: (backEnd: gateway.BackEnd) => limiters.RateAllowance | null
+  readonly readAllowance: (backEnd: gateway.BackEnd) => limiters.RateAllowance | null
   /** Whether a rate-limit permit may be requested; otherwise rate-limited back ends are passed over. */
-  readonly mayAsk: boolean
+  readonly mayRequestPermit: boolean
   readonly now: number
   /** Returns a random number from 0 to 1. */
   readonly random: () => number
@@ -133,7 +133,7 @@
   let permitWaitMs = Infinity
   const passedOver: PassedOver = {}
   for (const backEnd of input.backEnds) {
-    const allowance = input.readRoom(backEnd)
+    const allowance = input.readAllowance(backEnd)
     const scored = score(backEnd, allowance, input)
     const slots = allowance === null ? backEnd.slots : Math.min(backEnd.slots, allowance.perSecond * LIMITED_REQUEST_SECONDS)
     if (typeof scored === 'string') {
@@ -165,7 +165,7 @@
 function score (backEnd: gateway.BackEnd, allowance: limiters.RateAllowance | null, input: ChoiceInput): ScoredChoice | PassedOverReason {
   if (backEnd.isDraining) return 'draining'
   if (input.tried.has(backEnd.id)) return 'tried'
-  const load = input.book.read(backEnd.id)
+  const load = input.tracker.read(backEnd.id)
   if (load.isGone) return 'gone'
   const withoutLink = predict(backEnd, load, input)
   const linkMs = load.linkDelayMs * LINK_CROSSINGS
@@ -174,15 +174,15 @@
   const healthyGraceMs = computeHealthyGraceMs(load, input)
   const refusal = input.figures === null || input.model === null ? null : findVersionRefusal(version, computeLatestBegin(load, predicted.firstEventMs, input) - healthyGraceMs, input)
   if (refusal !== null) return refusal
-  if (allowance !== null && (allowance.waitMs > 0 || !input.mayAsk)) return 'limited'
+  if (allowance !== null && (allowance.waitMs > 0 || !input.mayRequestPermit)) return 'limited'
   const penalty = (backEnd.zone === input.zone ? 0 : OTHER_ZONE_PENALTY_MS) +
     (load.isReportOverdue ? OVERDUE_REPORT_PENALTY_MS : 0) +
     (load.avoidedUntil > input.now ? AVOIDED_PENALTY_MS : 0) +
     (load.isPaused ? PAUSED_PENALTY_MS : computeVersionChangeDelayMs(load, predicted.firstEventMs, input) * (input.pinnedVersion === null ? VERSION_CHANGE_DELAY_WEIGHT : RESUMED_VERSION_CHANGE_DELAY_WEIGHT)) +
     input.random() * JITTER_MS
-  const areOldVersionsRefused = input.lastSendTo(0) <= input.now
+  const areOldVersionsRefused = input.lastBeginAt(0) <= input.now
   const expectedVersion = areOldVersionsRefused || input.pinnedVersion !== null ? version : null
-  const mustBeginBy = version === null ? Infinity : input.lastSendTo(version) + healthyGraceMs
+  const mustBeginBy = version === null ? Infinity : input.lastBeginAt(version) + healthyGraceMs
   return { backEnd, isRateLimited: allowance !== null, expectedVersion, mustBeginBy, ...predicted, score: predicted.firstEventMs + penalty, taken: countOccupied(load, input) }
 }
 
@@ -191,7 +191,7 @@
  * multiplied by the number of gateways. Gateways get similar numbers of calls, so the estimate is wrong for a single engine but right for the sum over
  * all. Plain back ends report nothing; their calls are short, so only those of this gateway count.
  */
-function countOccupied (load: createBackEndBook.BackEndLoad, input: ChoiceInput): number {
+function countOccupied (load: createBackEndTracker.BackEndLoad, input: ChoiceInput): number {
   if (input.figures === null) return load.open.size
   const reported = load.report === null ? 0 : load.report.running + load.report.waiting
   return reported + load.sentSinceReport * input.gateways
@@ -201,7 +201,7 @@
 function findVersionRefusal (version: number | null, latestBeginAt: number, input: ChoiceInput): PassedOverReason | null {
   if (version === null) return 'empty'
   if (input.pinnedVersion !== null && version !== input.pinnedVersion) return 'other-version'
-  const lastSendAt = input.lastSendTo(version)
+  const lastSendAt = input.lastBeginAt(version)
   if (latestBeginAt < lastSendAt) return null
   return input.now >= lastSendAt ? 'old' : 'late'
 }
@@ -210,7 +210,7 @@
  * Latest time at which the call may begin. Nothing is known of an engine with an overdue report or behind a saturated link, and a call may be queued at
  * an engine that switches its version, so the call's deadline is assumed there.
  */
-function computeLatestBegin (load: createBackEndBook.BackEndLoad, firstEventMs: number, input: ChoiceInput): number {
+function computeLatestBegin (load: createBackEndTracker.BackEndLoad, firstEventMs: number, input: ChoiceInput): number {
   const isChanging = load.isPaused || load.versionChangesAt <= input.now
   if (isChanging || load.isReportOverdue || load.avoidedUntil > input.now || load.linkDelayMs > SATURATED_LINK_DELAY_MS) return input.endsAt
   return Math.min(input.endsAt, input.now + firstEventMs * BEGIN_DELAY_FACTOR)
@@ -220,7 +220,7 @@
  * Milliseconds by which a call may begin later here than at an engine that is busy or of which too little is known. None for a second attempt: its first
  * engine was unresponsive, and the next one may be too.
  */
-function computeHealthyGraceMs (load: createBackEndBook.BackEndLoad, input: ChoiceInput): number {
+function computeHealthyGraceMs (load: createBackEndTracker.BackEndLoad, input: ChoiceInput): number {
   if (input.tried.size > 0) return 0
   const isHealthy = load.isRoundTripMeasured && !load.isReportOverdue && !load.isPaused && load.avoidedUntil <= input.now && load.linkDelayMs <= HEALTHY_LINK_DELAY_MS
   const isIdle = load.report !== null && load.report.waiting === 0 && load.report.running + load.sentSinceReport < (input.figures?.slots ?? 0)
@@ -228,7 +228,7 @@
 }
 
 /** Milliseconds by which the response would delay the engine's version switch. */
-function computeVersionChangeDelayMs (load: createBackEndBook.BackEndLoad, firstEventMs: number, input: ChoiceInput): number {
+function computeVersionChangeDelayMs (load: createBackEndTracker.BackEndLoad, firstEventMs: number, input: ChoiceInput): number {
   if (input.figures === null || load.versionChangesAt === Infinity) return 0
   const tokens = input.answerTokens > 0 ? input.answerTokens : input.figures.usualAnswerTokens ?? 0
   const endsAt = input.now + firstEventMs + tokens * (input.figures.stepMs ?? 0) * STEPS_PER_TOKEN
@@ -236,12 +236,12 @@
 }
 
 /** Prefers the agent's report, which is newer than the list of back ends. */
-function readVersion (backEnd: gateway.BackEnd, load: createBackEndBook.BackEndLoad, model: string): number | null {
+function readVersion (backEnd: gateway.BackEnd, load: createBackEndTracker.BackEndLoad, model: string): number | null {
   const models = load.report?.models ?? backEnd.models
   return models.get(model) ?? null
 }
 
-function predict (backEnd: gateway.BackEnd, load: createBackEndBook.BackEndLoad, input: ChoiceInput): predictFirstEvent.Prediction {
+function predict (backEnd: gateway.BackEnd, load: createBackEndTracker.BackEndLoad, input: ChoiceInput): predictFirstEvent.Prediction {
   if (input.figures !== null) return predictFirstEvent.predictFirstEvent(input.figures, backEnd.slots, load, input.promptTokens, input.gateways)
   const open = load.open.size
   return { firstEventMs: open * ASSUMED_PLAIN_REQUEST_MS, discountedFirstEventMs: open * ASSUMED_PLAIN_REQUEST_MS, queuedAhead: Math.max(0, open + 1 - backEnd.slots) }
--- a/packages/gateway/src/chooseBackEnd/limited.test.ts
+++ b/packages/gateway/src/chooseBackEnd/limited.test.ts
@@ -2,7 +2,7 @@
 import * as nodeTest from 'node:test'
 import * as types from '@switchridge/types'
 import * as chooseBackEnd from './index.js'
-import * as createBackEndBook from '../createBackEndBook/index.js'
+import * as createBackEndTracker from '../createBackEndTracker/index.js'
 import type * as gateway from '../types/index.js'
 import type * as limiters from '../types/limiter.js'
 
@@ -16,17 +16,17 @@
 function choose (allowances: Readonly<Record<string, limiters.RateAllowance | null>>, change: Partial<chooseBackEnd.ChoiceInput> = {}): chooseBackEnd.ChoiceOutcome {
   return chooseBackEnd.chooseBackEnd({
     backEnds: Object.keys(allowances).map(createPlain),
-    book: createBackEndBook.createBackEndBook(() => NOW),
+    tracker: createBackEndTracker.createBackEndTracker(() => NOW),
     figures: null,
     zone: 'a',
     gateways: 1,
     model: null,
     promptTokens: 0,
     answerTokens: 0,
-    lastSendTo: () => Infinity,
+    lastBeginAt: () => Infinity,
     endsAt: NOW + 6000,
-    readRoom: ({ id }) => allowances[id] ?? null,
-    mayAsk: true,
+    readAllowance: ({ id }) => allowances[id] ?? null,
+    mayRequestPermit: true,
     pinnedVersion: null,
     tried: new Set(),
     now: NOW,
@@ -40,7 +40,7 @@
   const waiting = choose({ limited: { perSecond: 1, waitMs: 700 }, sound: null })
   assert.equal(waiting.choice?.backEnd.id, 'sound')
   assert.deepEqual(waiting.passedOver, { limited: 1 })
-  assert.equal(choose({ limited: { perSecond: 1, waitMs: 0 } }, { mayAsk: false }).choice, null)
+  assert.equal(choose({ limited: { perSecond: 1, waitMs: 0 } }, { mayRequestPermit: false }).choice, null)
 })
 
 nodeTest.test('if all back ends wait for permits, the shortest wait is returned', () => {
--- a/packages/gateway/src/chooseBackEnd/test.ts
+++ b/packages/gateway/src/chooseBackEnd/test.ts
@@ -2,7 +2,7 @@
 import * as nodeTest from 'node:test'
 import * as types from '@switchridge/types'
 import * as chooseBackEnd from './index.js'
-import * as createBackEndBook from '../createBackEndBook/index.js'
+import * as createBackEndTracker from '../createBackEndTracker/index.js'
 import type * as gateway from '../types/index.js'
 
 const FIGURES: gateway.EngineFigures = {
@@ -16,24 +16,24 @@
   }
 }
 
-function report (version: number, running: number, waiting = 0): createBackEndBook.AgentStatus {
+function report (version: number, running: number, waiting = 0): createBackEndTracker.AgentStatus {
   return {
     isPaused: false, changesInMs: null, report: { bornAt: null, running, waiting, isBusy: false, sequence: 0, pace: 1, limitPerSecond: null, models: new Map([['m', version]]) }
   }
 }
 
-function chooseAmong (backEnds: readonly gateway.BackEnd[], tracker: createBackEndBook.BackEndBook, change: Partial<chooseBackEnd.ChoiceInput> = {}): chooseBackEnd.ChoiceOutcome {
+function chooseAmong (backEnds: readonly gateway.BackEnd[], tracker: createBackEndTracker.BackEndTracker, change: Partial<chooseBackEnd.ChoiceInput> = {}): chooseBackEnd.ChoiceOutcome {
   return chooseBackEnd.chooseBackEnd({
-    backEnds, book: tracker, figures: FIGURES, zone: 'a', gateways: 1, model: 'm', promptTokens: 1000, answerTokens: 100, lastSendTo: () => Infinity, endsAt: NOW + 6000, readRoom: () => null, mayAsk: true, pinnedVersion: null, tried: new Set(), now: NOW, random: () => 0, ...change
+    backEnds, tracker, figures: FIGURES, zone: 'a', gateways: 1, model: 'm', promptTokens: 1000, answerTokens: 100, lastBeginAt: () => Infinity, endsAt: NOW + 6000, readAllowance: () => null, mayRequestPermit: true, pinnedVersion: null, tried: new Set(), now: NOW, random: () => 0, ...change
   })
 }
 
-function choose (backEnds: readonly gateway.BackEnd[], tracker: createBackEndBook.BackEndBook, change: Partial<chooseBackEnd.ChoiceInput> = {}): string | null {
+function choose (backEnds: readonly gateway.BackEnd[], tracker: createBackEndTracker.BackEndTracker, change: Partial<chooseBackEnd.ChoiceInput> = {}): string | null {
   return chooseAmong(backEnds, tracker, change).choice?.backEnd.id ?? null
 }
 
 nodeTest.test('the engine with the earliest first event is chosen, and the own data hall among equals', () => {
-  const tracker = createBackEndBook.createBackEndBook(() => NOW)
+  const tracker = createBackEndTracker.createBackEndTracker(() => NOW)
   const engines = [createEngine('far', 1, 'b'), createEngine('full', 1), createEngine('near', 1)]
   tracker.noteReport(types.brandId('full'), report(1, 16, 4), NOW, 0)
   assert.equal(choose(engines, tracker), 'near')
@@ -42,14 +42,14 @@
 })
 
 nodeTest.test('engines that are draining, were tried or hold another version are passed over', () => {
-  const tracker = createBackEndBook.createBackEndBook(() => NOW)
+  const tracker = createBackEndTracker.createBackEndTracker(() => NOW)
   assert.equal(choose([createEngine('draining', 1, 'a', true)], tracker), null)
   assert.equal(choose([createEngine('tried', 1)], tracker, { tried: new Set([types.brandId<types.NodeId>('tried')]) }), null)
   assert.equal(choose([createEngine('old', 1), createEngine('new', 2, 'b')], tracker, { pinnedVersion: 2 }), 'new')
 })
 
 nodeTest.test('a back end whose address now belongs to another one is passed over', () => {
-  const tracker = createBackEndBook.createBackEndBook(() => NOW)
+  const tracker = createBackEndTracker.createBackEndTracker(() => NOW)
   const engines = [createEngine('ended', 1), createEngine('next', 1, 'b')]
   tracker.noteInstanceEnded(types.brandId('ended'))
   assert.equal(choose(engines, tracker), 'next')
@@ -59,25 +59,25 @@
 nodeTest.test('an engine where the call may begin too late is passed over: queues, overdue reports, pauses and saturated links', () => {
   const lastSendTo = (version: number): number => version < 2 ? NOW + 400 : Infinity
   const engines = [createEngine('old', 1)]
-  const idle = createBackEndBook.createBackEndBook(() => NOW)
+  const idle = createBackEndTracker.createBackEndTracker(() => NOW)
   idle.noteReport(types.brandId('old'), report(1, 2), NOW, 0)
-  assert.equal(choose(engines, idle, { lastSendTo }), 'old')
-  const queued = createBackEndBook.createBackEndBook(() => NOW)
+  assert.equal(choose(engines, idle, { lastBeginAt: lastSendTo }), 'old')
+  const queued = createBackEndTracker.createBackEndTracker(() => NOW)
   queued.noteReport(types.brandId('old'), report(1, 16, 4), NOW, 0)
-  assert.equal(choose(engines, queued, { lastSendTo }), null)
-  const silent = createBackEndBook.createBackEndBook(() => NOW)
+  assert.equal(choose(engines, queued, { lastBeginAt: lastSendTo }), null)
+  const silent = createBackEndTracker.createBackEndTracker(() => NOW)
   silent.noteReport(types.brandId('old'), report(1, 2), NOW - 1300, 0)
-  assert.equal(choose(engines, silent, { lastSendTo }), null)
-  const paused = createBackEndBook.createBackEndBook(() => NOW)
+  assert.equal(choose(engines, silent, { lastBeginAt: lastSendTo }), null)
+  const paused = createBackEndTracker.createBackEndTracker(() => NOW)
   paused.noteReport(types.brandId('old'), { ...report(1, 2), isPaused: true }, NOW, 0)
-  assert.equal(choose(engines, paused, { lastSendTo }), null)
-  const saturated = createBackEndBook.createBackEndBook(() => NOW)
+  assert.equal(choose(engines, paused, { lastBeginAt: lastSendTo }), null)
+  const saturated = createBackEndTracker.createBackEndTracker(() => NOW)
   saturated.noteReport(types.brandId('old'), report(1, 2), NOW - 200, 200)
-  assert.equal(choose(engines, saturated, { lastSendTo }), null)
+  assert.equal(choose(engines, saturated, { lastBeginAt: lastSendTo }), null)
 })
 
 nodeTest.test('an engine that is about to switch versions loses to one that is not', () => {
-  const tracker = createBackEndBook.createBackEndBook(() => NOW)
+  const tracker = createBackEndTracker.createBackEndTracker(() => NOW)
   tracker.noteReport(types.brandId('changing'), { ...report(1, 2), changesInMs: 100 }, NOW, 0)
   tracker.noteReport(types.brandId('staying'), report(1, 4), NOW, 0)
   assert.equal(choose([createEngine('changing', 1), createEngine('staying', 1, 'b')], tracker), 'staying')
@@ -86,29 +86,29 @@
 nodeTest.test('a call may be sent to a healthy, idle engine later than to others, but not without limit', () => {
   const lastSendTo = (version: number): number => version < 2 ? NOW - 300 : Infinity
   const engines = [createEngine('old', 1)]
-  const idle = createBackEndBook.createBackEndBook(() => NOW)
+  const idle = createBackEndTracker.createBackEndTracker(() => NOW)
   idle.noteReport(types.brandId('old'), report(1, 2), NOW, 0)
-  assert.equal(choose(engines, idle, { lastSendTo }), null)
-  assert.equal(choose(engines, idle, { lastSendTo, pinnedVersion: 1 }), null, 'the link to it may be saturated')
+  assert.equal(choose(engines, idle, { lastBeginAt: lastSendTo }), null)
+  assert.equal(choose(engines, idle, { lastBeginAt: lastSendTo, pinnedVersion: 1 }), null, 'the link to it may be saturated')
   idle.noteConnect(types.brandId('old'), 4)
-  assert.equal(choose(engines, idle, { lastSendTo }), 'old')
-  assert.equal(choose(engines, idle, { lastSendTo, pinnedVersion: 1 }), 'old')
-  assert.equal(choose(engines, idle, { lastSendTo, pinnedVersion: 1, tried: new Set([types.brandId<types.NodeId>('mute')]) }), null, 'a second attempt may also be delayed')
-  assert.equal(choose(engines, idle, { lastSendTo: () => NOW - 800 }), null, 'its first event may come too late')
-  const queued = createBackEndBook.createBackEndBook(() => NOW)
+  assert.equal(choose(engines, idle, { lastBeginAt: lastSendTo }), 'old')
+  assert.equal(choose(engines, idle, { lastBeginAt: lastSendTo, pinnedVersion: 1 }), 'old')
+  assert.equal(choose(engines, idle, { lastBeginAt: lastSendTo, pinnedVersion: 1, tried: new Set([types.brandId<types.NodeId>('mute')]) }), null, 'a second attempt may also be delayed')
+  assert.equal(choose(engines, idle, { lastBeginAt: () => NOW - 800 }), null, 'its first event may come too late')
+  const queued = createBackEndTracker.createBackEndTracker(() => NOW)
   queued.noteReport(types.brandId('old'), report(1, 2, 1), NOW, 0)
   queued.noteConnect(types.brandId('old'), 4)
-  assert.equal(choose(engines, queued, { lastSendTo, pinnedVersion: 1 }), null)
-  const saturated = createBackEndBook.createBackEndBook(() => NOW)
+  assert.equal(choose(engines, queued, { lastBeginAt: lastSendTo, pinnedVersion: 1 }), null)
+  const saturated = createBackEndTracker.createBackEndTracker(() => NOW)
   saturated.noteReport(types.brandId('old'), report(1, 2), NOW, 0)
   saturated.noteConnect(types.brandId('old'), 160)
-  assert.equal(choose(engines, saturated, { lastSendTo, pinnedVersion: 1 }), null)
-  const unknown = createBackEndBook.createBackEndBook(() => NOW)
-  assert.equal(choose(engines, unknown, { lastSendTo, pinnedVersion: 1 }), null)
+  assert.equal(choose(engines, saturated, { lastBeginAt: lastSendTo, pinnedVersion: 1 }), null)
+  const unknown = createBackEndTracker.createBackEndTracker(() => NOW)
+  assert.equal(choose(engines, unknown, { lastBeginAt: lastSendTo, pinnedVersion: 1 }), null)
 })
 
 nodeTest.test('a resumed stream avoids engines that switch versions soon, because it can move only once', () => {
-  const tracker = createBackEndBook.createBackEndBook(() => NOW)
+  const tracker = createBackEndTracker.createBackEndTracker(() => NOW)
   tracker.noteReport(types.brandId('soon'), { ...report(1, 2), changesInMs: 600 }, NOW, 0)
   tracker.noteReport(types.brandId('later'), { ...report(1, 12), changesInMs: 1600 }, NOW, 0)
   const engines = [createEngine('soon', 1), createEngine('later', 1)]
@@ -117,11 +117,11 @@
 
 nodeTest.test('calls interrupted by a version switch do not make the engine avoided', () => {
   const id = types.brandId<types.NodeId>('changed')
-  const paused = createBackEndBook.createBackEndBook(() => NOW)
+  const paused = createBackEndTracker.createBackEndTracker(() => NOW)
   paused.noteReport(id, { ...report(1, 2), isPaused: true }, NOW, 0)
   paused.noteFailure(id)
   assert.equal(paused.read(id).avoidedUntil, 0)
-  const late = createBackEndBook.createBackEndBook(() => NOW)
+  const late = createBackEndTracker.createBackEndTracker(() => NOW)
   late.noteReport(id, report(1, 2), NOW, 0)
   late.noteFailure(id)
   assert.ok(late.read(id).avoidedUntil > NOW)
@@ -130,7 +130,7 @@
 })
 
 nodeTest.test('utilization counts reports and the calls of all gateways since, for plain back ends only own calls', () => {
-  const tracker = createBackEndBook.createBackEndBook(() => NOW)
+  const tracker = createBackEndTracker.createBackEndTracker(() => NOW)
   const engines = [createEngine('one', 1), createEngine('other', 1)]
   tracker.noteReport(types.brandId('one'), report(1, 6, 2), NOW - 100, 0)
   tracker.noteReport(types.brandId('other'), report(1, 0), NOW - 100, 0)
--- a/packages/gateway/src/createBackEndBook/index.ts
+++ b/packages/gateway/src/createBackEndTracker/index.ts
@@ -48,7 +48,7 @@
 }
 
 /** Tracks all back ends. */
-export interface BackEndBook {
+export interface BackEndTracker {
   readonly read: (id: types.NodeId) => BackEndLoad
   readonly noteSent: (id: types.NodeId, attempt: OpenAttempt) => void
   readonly noteEnded: (id: types.NodeId, attempt: OpenAttempt) => void
@@ -139,7 +139,7 @@
  * @param now - Monotonic clock in milliseconds.
  * @returns The tracker.
  */
-export function createBackEndBook (now: () => number): BackEndBook {
+export function createBackEndTracker (now: () => number): BackEndTracker {
   const states = new Map<types.NodeId, BackEndState>()
 
   function find (id: types.NodeId): BackEndState {
--- a/packages/gateway/src/createBackEndBook/test.ts
+++ b/packages/gateway/src/createBackEndTracker/test.ts
@@ -1,24 +1,24 @@
 import * as assert from 'node:assert/strict'
 import * as nodeTest from 'node:test'
 import * as types from '@switchridge/types'
-import * as createBackEndBook from './index.js'
+import * as createBackEndTracker from './index.js'
 
 const ID = types.brandId<types.NodeId>('engine')
-const STATUS: createBackEndBook.AgentStatus = {
+const STATUS: createBackEndTracker.AgentStatus = {
   isPaused: false,
   changesInMs: null,
   report: { bornAt: null, running: 1, waiting: 0, isBusy: false, sequence: 0, pace: 1, limitPerSecond: null, models: new Map() }
 }
 
 interface RecordedReports {
-  readonly tracker: createBackEndBook.BackEndBook
+  readonly tracker: createBackEndTracker.BackEndTracker
   readonly advance: (milliseconds: number) => void
 }
 
 /** Creates a tracker that receives reports of one engine at regular intervals; each report is `reportAgeMs` old on arrival. */
 function recordReports (intervalMs: number, reportAgeMs: number, count: number): RecordedReports {
   let time = 10_000
-  const tracker = createBackEndBook.createBackEndBook(() => time)
+  const tracker = createBackEndTracker.createBackEndTracker(() => time)
   for (let heard = 0; heard < count; heard += 1) {
     time += intervalMs
     tracker.noteReport(ID, STATUS, time - reportAgeMs, 0)
@@ -57,12 +57,12 @@
 })
 
 /** Status of the engine instance that started at `bornAt`. */
-function createInstanceStatus (bornAt: number | null, running: number): createBackEndBook.AgentStatus {
+function createInstanceStatus (bornAt: number | null, running: number): createBackEndTracker.AgentStatus {
   return { ...STATUS, report: { ...STATUS.report, bornAt, running, sequence: running, models: new Map([['m', running]]) } }
 }
 
 nodeTest.test('an engine that restarts under its id is used again, without the state of its earlier instance', () => {
-  const tracker = createBackEndBook.createBackEndBook(() => 10_000)
+  const tracker = createBackEndTracker.createBackEndTracker(() => 10_000)
   const open = { promptTokens: 900, answerTokens: 10, sentAt: 9000, hasResponded: false }
   tracker.noteReport(ID, createInstanceStatus(1000, 7), 9990, 0)
   tracker.noteSent(ID, open)
@@ -80,14 +80,14 @@
 })
 
 nodeTest.test('a delayed report of an earlier instance never replaces one of a later instance', () => {
-  const tracker = createBackEndBook.createBackEndBook(() => 10_000)
+  const tracker = createBackEndTracker.createBackEndTracker(() => 10_000)
   tracker.noteReport(ID, createInstanceStatus(2000, 0), 9900, 0)
   tracker.noteReport(ID, createInstanceStatus(1000, 7), 9990, 0)
   assert.equal(tracker.read(ID).report?.running, 0)
 })
 
 nodeTest.test('a later instance listed by service discovery replaces the earlier one before its agent reports', () => {
-  const tracker = createBackEndBook.createBackEndBook(() => 10_000)
+  const tracker = createBackEndTracker.createBackEndTracker(() => 10_000)
   tracker.noteReport(ID, createInstanceStatus(1000, 7), 9990, 0)
   tracker.noteInstanceEnded(ID)
   tracker.keepOnly([{ id: ID, bornAt: 1000 }])
@@ -101,7 +101,7 @@
 })
 
 nodeTest.test('an engine that gives no start time counts as one instance', () => {
-  const tracker = createBackEndBook.createBackEndBook(() => 10_000)
+  const tracker = createBackEndTracker.createBackEndTracker(() => 10_000)
   tracker.noteReport(ID, createInstanceStatus(null, 1), 9900, 0)
   tracker.noteInstanceEnded(ID)
   tracker.noteReport(ID, createInstanceStatus(null, 2), 9990, 0)
--- a/packages/gateway/src/createCallHandler/index.ts
+++ b/packages/gateway/src/createCallHandler/index.ts
@@ -18,7 +18,7 @@
   /** Number of calls in progress. */
   readonly inProgress: () => number
   /** Starts draining: asks callers to close their connections, and refuses calls that may not finish before `endsAt`, a monotonic time in milliseconds. */
-  readonly leave: (endsAt: number) => void
+  readonly drain: (endsAt: number) => void
   /** Ends all calls in progress with a final response now. */
   readonly endAll: () => void
 }
@@ -73,7 +73,7 @@
 
   return {
     inProgress: () => inProgress,
-    leave: (at) => { endsAt = at },
+    drain: (at) => { endsAt = at },
     endAll: () => { for (const call of calls) call.expire() },
     handle: (request, response) => {
       inProgress += 1
--- a/packages/gateway/src/createSlotReservations/index.ts
+++ b/packages/gateway/src/createSlotReservations/index.ts
@@ -1,5 +1,5 @@
 /** Reserves slots of one engine for calls that gateways are about to send, based on a newer report than the gateways have. */
-import type * as createBackEndBook from '../createBackEndBook/index.js'
+import type * as createBackEndTracker from '../createBackEndTracker/index.js'
 import * as predictFirstEvent from '../predictFirstEvent/index.js'
 import type * as gateway from '../types/index.js'
 
@@ -32,7 +32,7 @@
 const TIME_FRACTION = 0.6
 /** Only the agent reserves slots of its engine, so no calls of other gateways have to be estimated. */
 const SENDING_GATEWAYS = 1
-const NO_OPEN_ATTEMPTS: createBackEndBook.BackEndLoad['open'] = new Set()
+const NO_OPEN_ATTEMPTS: createBackEndTracker.BackEndLoad['open'] = new Set()
 
 /**
  * Creates the reservations of one engine.
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,6 +1,6 @@
 /** The request path: from a caller to a back end and back. */
 export * from './chooseBackEnd/index.js'
-export * from './createBackEndBook/index.js'
+export * from './createBackEndTracker/index.js'
 export * from './createErrorBound/index.js'
 export * from './createCallHandler/index.js'
 export * from './createCallerServer/index.js'
--- a/packages/gateway/src/predictFirstEvent/index.ts
+++ b/packages/gateway/src/predictFirstEvent/index.ts
@@ -1,6 +1,6 @@
 /** Predicts when a model engine would send the first event of a call. */
 import type * as gateway from '../types/index.js'
-import type * as createBackEndBook from '../createBackEndBook/index.js'
+import type * as createBackEndTracker from '../createBackEndTracker/index.js'
 
 /** A prediction. */
 export interface Prediction {
@@ -34,7 +34,7 @@
  * @param gateways - Number of gateways that send to the engine, including this one; the calls that the others sent since the report are estimated.
  * @returns The prediction.
  */
-export function predictFirstEvent (figures: gateway.EngineFigures, slots: number, load: Pick<createBackEndBook.BackEndLoad, 'report' | 'open' | 'sentSinceReport' | 'promptTokensSinceReport'>, promptTokens: number, gateways: number): Prediction {
+export function predictFirstEvent (figures: gateway.EngineFigures, slots: number, load: Pick<createBackEndTracker.BackEndLoad, 'report' | 'open' | 'sentSinceReport' | 'promptTokensSinceReport'>, promptTokens: number, gateways: number): Prediction {
   const report = load.report
   const pace = Math.max(1, report?.pace ?? 1)
   const running = report?.running ?? 0
