--- a/packages/daemon/src/_lib/simulatedFleet.ts
+++ b/packages/daemon/src/_lib/simulatedFleet.ts
@@ -255,7 +255,7 @@
       heard: factTimes,
       tell: (content) => {
         factTimes.set(content, now())
-        exchange?.facts.tell(content, FACT_LIFETIME_MS)
+        exchange?.facts.publish(content, FACT_LIFETIME_MS)
       },
       start: async () => {
         factTimes.clear()
--- a/packages/daemon/src/createEntryQuarantine/index.ts
+++ b/packages/daemon/src/createEntryQuarantine/index.ts
@@ -55,7 +55,7 @@
     settings: settings.quarantine,
     store: adaptStore(parts.store),
     mayAskStore,
-    tell: (content, ttlMs, ageMs) => { facts.tell(content, ttlMs, ageMs) },
+    tell: (content, ttlMs, ageMs) => { facts.publish(content, ttlMs, ageMs) },
     onReportedEnd: () => {},
     logger,
     count,
@@ -69,7 +69,7 @@
     send: (node, bytes) => { void sendFacts(node, bytes) },
     onFact: shared.noteFact,
     onDrop: () => { count('facts_unreadable') },
-    later: (delayMs, action) => { setTimeout(() => { if (!isStopped) action() }, delayMs) },
+    schedule: (delayMs, action) => { setTimeout(() => { if (!isStopped) action() }, delayMs) },
     now,
     random: parts.random
   })
--- a/packages/daemon/src/createFleetExchange/index.ts
+++ b/packages/daemon/src/createFleetExchange/index.ts
@@ -70,7 +70,7 @@
     zone,
     canServe: (peer, kind) => copyParts.holds(copyParts.partOf(kind, peer.role), copyParts.partOf(kind, role)),
     isWatching: (kind) => keptMirrors.get(kind)?.isWatching() ?? false,
-    farGraceMs: watchDuty.farGraceMs,
+    otherHallGraceMs: watchDuty.farGraceMs,
     fetchChanges: options.fetchChanges,
     onAsked: (kind, isOwnHall) => { parts.metrics.count('copies_asked', { kind, hall: formatHallLabel(isOwnHall) }) },
     onAdopted: recordAdoptedCopy,
@@ -87,7 +87,7 @@
     send,
     onFact: options.onFact,
     onDrop: () => { parts.metrics.count('datagrams_dropped', { reason: 'bad-fact' }) },
-    later: (delayMs, action) => { setTimeout(() => { if (!isStopped) action() }, delayMs) },
+    schedule: (delayMs, action) => { setTimeout(() => { if (!isStopped) action() }, delayMs) },
     now: parts.now,
     random: options.random
   })
--- a/packages/daemon/src/createHeartbeats/index.ts
+++ b/packages/daemon/src/createHeartbeats/index.ts
@@ -77,7 +77,7 @@
 
   function schedule (): void {
     if (isStopped) return
-    const waitMs = membership.computeInterval(countHallMembers()) * (1 - JITTER / 2 + JITTER * options.random())
+    const waitMs = membership.computeHeartbeatInterval(countHallMembers()) * (1 - JITTER / 2 + JITTER * options.random())
     timer = setTimeout(() => { void sendNow().finally(schedule) }, waitMs)
   }
 
@@ -86,7 +86,7 @@
   }
 
   async function sendNow (): Promise<void> {
-    view.hear(self.read())
+    view.applyHeartbeat(self.read())
     await Promise.all(listTargets().map(sendHeartbeat))
     view.refresh()
     options.onRefresh()
@@ -125,7 +125,7 @@
     if (!parsed.success) return
     const answer = parsed.data as unknown as HeartbeatAnswer
     cursors.set(key, { incarnation: answer.facts.incarnation, counter: answer.counter })
-    view.hear(answer.facts)
+    view.applyHeartbeat(answer.facts)
     view.applyClaims(answer.facts.node, answer.claims.filter((claim) => claim.facts.node !== self.read().node))
     await fetchNewerTable(answer.facts)
   }
@@ -144,7 +144,7 @@
     const heartbeat = schemas.heartbeatSchema.parse(params)
     const facts = heartbeat.facts as unknown as types.MemberFacts
     const known = view.find(facts.node)
-    view.hear(facts)
+    view.applyHeartbeat(facts)
     if (heartbeat.load !== null) options.noteLoad(facts.node, heartbeat.load)
     void fetchNewerTable(facts)
     if (known?.condition !== 'live' || types.isNewerFacts(facts, known.facts)) options.onRefresh()
--- a/packages/daemon/src/createPlacementLoop/test.ts
+++ b/packages/daemon/src/createPlacementLoop/test.ts
@@ -75,7 +75,7 @@
     await reconcile()
   }
   const reconcile = async (): Promise<void> => {
-    view.hear(self.read())
+    view.applyHeartbeat(self.read())
     loop.reconcile()
     await settle()
   }
--- a/packages/daemon/src/createRateLimiter/index.ts
+++ b/packages/daemon/src/createRateLimiter/index.ts
@@ -66,7 +66,7 @@
   }
 
   function publishLimit (limit: rateLimits.RateLimit): void {
-    options.exchange()?.facts.tell(rateLimitFacts.formatFact(limit), FACT_LIFETIME_MS, now() - limit.heardAt)
+    options.exchange()?.facts.publish(rateLimitFacts.formatFact(limit), FACT_LIFETIME_MS, now() - limit.heardAt)
   }
 
   function listCandidates (): rateLimits.CounterCandidate[] {
--- a/packages/daemon/src/createWatchDuty/index.ts
+++ b/packages/daemon/src/createWatchDuty/index.ts
@@ -106,8 +106,8 @@
   function listResponsive (self: spread.WatchingMember, live: readonly spread.Peer[], at: number): spread.WatchingMember[] {
     const all: spread.WatchingMember[] = [self, ...live.map((peer) => peer.heartbeat)]
     const ranked = spread.rankGateways(all, zone).map((member) => member.node)
-    const first = ranked.slice(0, spread.CANDIDATES)
-    if (!ranked.slice(0, spread.LISTENERS).includes(node)) return all
+    const first = ranked.slice(0, spread.RELAY_CANDIDATES)
+    if (!ranked.slice(0, spread.RELAY_LISTENERS).includes(node)) return all
     const silent = live.filter((peer) => at - peer.heardAt > WATCHER_TIMEOUT_MS).map((peer) => peer.heartbeat.node)
     return all.filter((member) => !first.includes(member.node) || !silent.includes(member.node))
   }
--- a/packages/daemon/src/createWatchDuty/test.ts
+++ b/packages/daemon/src/createWatchDuty/test.ts
@@ -33,8 +33,8 @@
     node: types.brandId(node), role: 'gateway', zone: ZONE, host: node, isLeaving: false, isStoreLost: withoutStore.has(node), copies: {}, versions: [], suspects: [], engine: null
   })
   const ranked = spread.rankGateways(nodes.map(describe), ZONE).map(({ node }): string => node)
-  const isFirst = (node: string): boolean => ranked.indexOf(node) < spread.CANDIDATES
-  const isListener = (node: string): boolean => ranked.indexOf(node) < spread.LISTENERS
+  const isFirst = (node: string): boolean => ranked.indexOf(node) < spread.RELAY_CANDIDATES
+  const isListener = (node: string): boolean => ranked.indexOf(node) < spread.RELAY_LISTENERS
   const duties = new Map(nodes.map((node) => [node, createWatchDuty.createWatchDuty({
     node: types.brandId(node),
     role: 'gateway',
@@ -81,7 +81,7 @@
 nodeTest.test('when the first four freeze together, the next ones take over within 1.5 s', () => {
   const hall = createHall(GATEWAYS)
   hall.advance(2000)
-  for (const node of hall.ranked.slice(0, spread.CANDIDATES)) hall.silent.add(node)
+  for (const node of hall.ranked.slice(0, spread.RELAY_CANDIDATES)) hall.silent.add(node)
   hall.advance(1400)
   assert.deepEqual(hall.watching().sort(), hall.ranked.slice(4, 6).sort())
 })
--- a/packages/daemon/src/startGatewayRole/index.ts
+++ b/packages/daemon/src/startGatewayRole/index.ts
@@ -56,7 +56,7 @@
     mayAskStore: () => startedExchange?.mayAskStore() ?? false,
     backEnds: parts.backEnds,
     book,
-    tell: (content, ttlMs, ageMs) => { startedExchange?.facts.tell(content, ttlMs, ageMs) },
+    tell: (content, ttlMs, ageMs) => { startedExchange?.facts.publish(content, ttlMs, ageMs) },
     probe: gateway.probeAddress,
     logger,
     count: metrics.count,
--- a/packages/measure/src/runCapacity/index.ts
+++ b/packages/measure/src/runCapacity/index.ts
@@ -96,7 +96,7 @@
 function predict (cpu: Fit, bytes: Fit, memory: Fit): CapacityRow[] {
   const fleet = makeTargetFleet()
   const hallSize = TARGET_SHAPE.entryNodesPerHall + TARGET_SHAPE.backendsPerHall
-  const perSecond = types.MILLISECONDS_IN_SECOND / membership.computeInterval(hallSize)
+  const perSecond = types.MILLISECONDS_IN_SECOND / membership.computeHeartbeatInterval(hallSize)
   const exchanges = new Map<string, number>()
   const countExchange = (node: string): void => { exchanges.set(node, (exchanges.get(node) ?? 0) + 1) }
   for (const { facts } of fleet) {
--- a/packages/membership/src/computeReportTargets/index.ts
+++ b/packages/membership/src/computeReportTargets/index.ts
@@ -66,7 +66,7 @@
  * @param hallMembers - Members of the hall that are not gone.
  * @returns Milliseconds, from {@link types.HEARTBEAT_INTERVAL_MS} to 8000.
  */
-export function computeInterval (hallMembers: number): number {
+export function computeHeartbeatInterval (hallMembers: number): number {
   return Math.min(MAXIMUM_INTERVAL_MS, Math.max(types.HEARTBEAT_INTERVAL_MS, INTERVAL_PER_MEMBER_MS * hallMembers))
 }
 
@@ -77,5 +77,5 @@
  * @returns Milliseconds.
  */
 export function computeSilenceLimit (hallMembers: number): number {
-  return SILENCE_LIMIT_INTERVALS * computeInterval(hallMembers)
+  return SILENCE_LIMIT_INTERVALS * computeHeartbeatInterval(hallMembers)
 }
--- a/packages/membership/src/computeReportTargets/test.ts
+++ b/packages/membership/src/computeReportTargets/test.ts
@@ -48,7 +48,7 @@
   })
 
   test.it('lengthens the interval in a large hall', () => {
-    assert.equal(computeReportTargets.computeInterval(12), types.HEARTBEAT_INTERVAL_MS)
-    assert.ok(computeReportTargets.computeInterval(183) > 2000)
+    assert.equal(computeReportTargets.computeHeartbeatInterval(12), types.HEARTBEAT_INTERVAL_MS)
+    assert.ok(computeReportTargets.computeHeartbeatInterval(183) > 2000)
   })
 })
--- a/packages/membership/src/createMemberView/index.ts
+++ b/packages/membership/src/createMemberView/index.ts
@@ -53,7 +53,7 @@
 /** Members as one daemon sees them. */
 export interface MemberView {
   /** Applies the facts that a member sent in its own heartbeat. */
-  readonly hear: (facts: types.MemberFacts) => void
+  readonly applyHeartbeat: (facts: types.MemberFacts) => void
   /** Applies the claims of an entry node about other members. */
   readonly applyClaims: (relay: types.NodeId, claims: readonly MemberClaim[]) => void
   /** Replaces the nodes that the platform's list marks as leaving. A node that the list lacks keeps its condition. */
@@ -213,7 +213,7 @@
   }
 
   return {
-    hear,
+    applyHeartbeat: hear,
     applyClaims,
     refresh,
     changesSince,
--- a/packages/membership/src/createMemberView/test.ts
+++ b/packages/membership/src/createMemberView/test.ts
@@ -35,21 +35,21 @@
 test.describe('createMemberView', () => {
   test.it('marks a node silent after the silence limit, and gone after the hold time', () => {
     const { clock, view, condition } = createView()
-    view.hear(makeFacts('b1'))
+    view.applyHeartbeat(makeFacts('b1'))
     clock.now = 1001
-    view.hear(makeFacts('b2'))
+    view.applyHeartbeat(makeFacts('b2'))
     view.refresh()
     assert.equal(condition(), 'silent')
     clock.now = 11_002
-    view.hear(makeFacts('b2'))
+    view.applyHeartbeat(makeFacts('b2'))
     view.refresh()
     assert.equal(condition(), 'gone')
   })
 
   test.it('holds the members of a hall that is silent as a whole for longer, since it may be cut off', () => {
     const { clock, view, condition } = createView()
-    view.hear(makeFacts('b1'))
-    view.hear(makeFacts('b2'))
+    view.applyHeartbeat(makeFacts('b1'))
+    view.applyHeartbeat(makeFacts('b2'))
     clock.now = 50_000
     view.refresh()
     view.refresh()
@@ -58,7 +58,7 @@
 
   test.it('keeps a live node that the node list lacks, and marks one that the list shows as leaving', () => {
     const { view, condition } = createView()
-    view.hear(makeFacts('b1'))
+    view.applyHeartbeat(makeFacts('b1'))
     view.applyNodeList([])
     assert.equal(condition(), 'live')
     view.applyNodeList([{ node: NODE, state: 'leaving' }])
@@ -67,7 +67,7 @@
 
   test.it('follows the claims of a relay that it hears, and keeps the last claims when it hears none', () => {
     const { clock, view, condition } = createView()
-    view.hear(makeFacts('e1', { role: 'entry' }))
+    view.applyHeartbeat(makeFacts('e1', { role: 'entry' }))
     view.applyClaims(ENTRY, [{ facts: makeFacts('b1'), condition: 'live', leaving: false }])
     assert.equal(condition(), 'live')
     view.applyClaims(ENTRY, [{ facts: makeFacts('b1'), condition: 'silent', leaving: false }])
@@ -80,7 +80,7 @@
 
   test.it('relays leaving nodes of the node list to daemons that do not read it, until the node restarts', () => {
     const [hub, other] = [createView(), createView()]
-    hub.view.hear(makeFacts('b1'))
+    hub.view.applyHeartbeat(makeFacts('b1'))
     const before = hub.view.changesSince(0, 'all').counter
     hub.view.applyNodeList([{ node: NODE, state: 'leaving' }])
     const { claims } = hub.view.changesSince(before, 'all')
@@ -92,18 +92,18 @@
 
   test.it('ignores older facts, also those of an earlier incarnation', () => {
     const { view } = createView()
-    view.hear(makeFacts('b1', { incarnation: types.brandId<types.IncarnationId>('2'), revision: 7 }))
-    view.hear(makeFacts('b1', { incarnation: types.brandId<types.IncarnationId>('1'), factsVersion: 9, revision: 3 }))
+    view.applyHeartbeat(makeFacts('b1', { incarnation: types.brandId<types.IncarnationId>('2'), revision: 7 }))
+    view.applyHeartbeat(makeFacts('b1', { incarnation: types.brandId<types.IncarnationId>('1'), factsVersion: 9, revision: 3 }))
     assert.equal(view.find(NODE)?.facts.revision, 7)
   })
 
   test.it('returns only the claims changed since a counter', () => {
     const { view } = createView()
-    view.hear(makeFacts('b1'))
+    view.applyHeartbeat(makeFacts('b1'))
     const first = view.changesSince(0, 'first-hand')
-    view.hear(makeFacts('b1'))
+    view.applyHeartbeat(makeFacts('b1'))
     assert.deepEqual(view.changesSince(first.counter, 'first-hand').claims, [])
-    view.hear(makeFacts('b1', { factsVersion: 2 }))
+    view.applyHeartbeat(makeFacts('b1', { factsVersion: 2 }))
     assert.equal(view.changesSince(first.counter, 'first-hand').claims.length, 1)
   })
 
--- a/packages/spread/src/_lib/createMemberExpiry.ts
+++ b/packages/spread/src/_lib/createMemberExpiry.ts
@@ -45,7 +45,7 @@
     table.remove(host)
     options.onExpired(host)
     const previousHosts = expiredHosts.get(zone) ?? []
-    expiredHosts.set(zone, [host, ...previousHosts.filter((each) => each !== host)].slice(0, relays.CANDIDATES))
+    expiredHosts.set(zone, [host, ...previousHosts.filter((each) => each !== host)].slice(0, relays.RELAY_CANDIDATES))
   }
 
   return {
--- a/packages/spread/src/_lib/fleetView.ts
+++ b/packages/spread/src/_lib/fleetView.ts
@@ -137,7 +137,7 @@
     if (known === undefined) byZone.set(member.heartbeat.zone, [member])
     else known.push(member)
   }
-  const listeners = relays.rankCandidates([self, ...near.map((member) => member.heartbeat)], self.zone, relays.LISTENERS)
+  const listeners = relays.rankCandidates([self, ...near.map((member) => member.heartbeat)], self.zone, relays.RELAY_LISTENERS)
   const overdueHosts = new Set(near.filter((member) => now - member.heardAt > intervals.keepaliveMs + RELAY_LIVE_MS).map((member) => member.heartbeat.host))
   const { preferred, responsive } = findRelayCandidates(self, near, overdueHosts, now)
   const allHosts = near.map((member) => member.heartbeat.host).sort()
--- a/packages/spread/src/_lib/relays.test.ts
+++ b/packages/spread/src/_lib/relays.test.ts
@@ -62,7 +62,7 @@
   const other = plan('0.0.0.i', 'gateway', 'hall-2')
   const members = [...agents, ...gateways, other].map(fleetTesting.describeForRank)
   const ranked = relays.rankCandidates(members, HALL)
-  assert.equal(ranked.length, relays.CANDIDATES)
+  assert.equal(ranked.length, relays.RELAY_CANDIDATES)
   assert.ok(ranked.every((each) => each.role === 'gateway' && each.zone === HALL))
   assert.deepEqual(relays.rankCandidates([...members].reverse(), HALL), ranked)
   const alone = relays.rankCandidates([...agents, other].map(fleetTesting.describeForRank), HALL)
--- a/packages/spread/src/_lib/relays.ts
+++ b/packages/spread/src/_lib/relays.ts
@@ -6,9 +6,9 @@
 /** Number of relays of a hall: two, so that digests are still exchanged while one of them is silent. */
 export const RELAYS_PER_HALL = 2
 /** Number of relays and standbys of a hall, which exchange keepalives more often than other members. */
-export const CANDIDATES = 4
+export const RELAY_CANDIDATES = 4
 /** Number of members that get frequent keepalives of the candidates: these and as many after them, so that a hall whose first four gateways fail together soon has relays again. */
-export const LISTENERS = 8
+export const RELAY_LISTENERS = 8
 /** Number of members that a member forwards a digest to; each one forwards it within its part of the hall. */
 export const FAN_OUT = 3
 
@@ -26,7 +26,7 @@
  * @param count - Maximum number of members to return.
  * @returns The members of the highest rank, in their order.
  */
-export function rankCandidates (members: readonly heartbeats.Heartbeat[], zone: string, count = CANDIDATES): heartbeats.Heartbeat[] {
+export function rankCandidates (members: readonly heartbeats.Heartbeat[], zone: string, count = RELAY_CANDIDATES): heartbeats.Heartbeat[] {
   const gateways = rankGateways.rankGateways(members, zone)
   if (gateways.length > 0) return gateways.slice(0, count)
   const agents = members.filter((member) => member.zone === zone && !member.isLeaving)
--- a/packages/spread/src/createCopySync/index.ts
+++ b/packages/spread/src/createCopySync/index.ts
@@ -36,7 +36,7 @@
   /** Tells whether this daemon's own watch of the kind works, so that its events are worth waiting for. */
   readonly isWatching: (kind: string) => boolean
   /** Milliseconds to wait for peers of the own hall before another hall is asked. */
-  readonly farGraceMs: () => number
+  readonly otherHallGraceMs: () => number
   /** Requests changes from a peer; `signal` aborts a request whose answer is no longer needed. */
   readonly fetchChanges: (host: string, request: CopyRequest, signal: AbortSignal) => Promise<types.Outcome<FetchedCopy, types.UnavailableError | InvalidCopyError>>
   readonly onAsked: (kind: string, isOwnHall: boolean) => void
@@ -159,7 +159,7 @@
     isSyncing = true
     if (mirror.isKnown() && options.isWatching(kind)) await types.delay(WATCH_GRACE_MS)
     nextRequestAt = options.now()
-    otherHallsAt = options.now() + options.farGraceMs()
+    otherHallsAt = options.now() + options.otherHallGraceMs()
     for (let wanted = listOffers(); wanted.length > 0 && !isStopped(); wanted = listOffers()) await waitForAnswer(requestNext(wanted))
     abortRequests()
     isSyncing = false
@@ -217,7 +217,7 @@
     pending.delete(host)
     const isAccepted = handleAnswer(offer, fetched)
     nextRequestAt = options.now() + (isAccepted ? 0 : computeRetryMs())
-    if (isAccepted) otherHallsAt = options.now() + options.farGraceMs()
+    if (isAccepted) otherHallsAt = options.now() + options.otherHallGraceMs()
     endWait()
   }
 
--- a/packages/spread/src/createCopySync/test.ts
+++ b/packages/spread/src/createCopySync/test.ts
@@ -46,7 +46,7 @@
     zone: 'hall-a',
     canServe: ({ role }) => role === 'gateway',
     isWatching: () => options.isWatching ?? false,
-    farGraceMs: () => OTHER_HALL_GRACE_MS,
+    otherHallGraceMs: () => OTHER_HALL_GRACE_MS,
     fetchChanges: async (host, request, signal) => {
       asked.push(host)
       signal?.addEventListener('abort', () => { ended.push(host) })
--- a/packages/spread/src/createFactExchange/index.ts
+++ b/packages/spread/src/createFactExchange/index.ts
@@ -21,7 +21,7 @@
   /** Called for each malformed datagram. */
   readonly onDrop: () => void
   /** Runs an action after a delay, unless the exchange was stopped. */
-  readonly later: (delayMs: number, action: () => void) => void
+  readonly schedule: (delayMs: number, action: () => void) => void
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
   /** Random number from 0 to 1. */
@@ -37,7 +37,7 @@
    * @param ttlMs - Milliseconds from its creation until it expires.
    * @param ageMs - Milliseconds since its creation.
    */
-  readonly tell: (content: unknown, ttlMs: number, ageMs?: number) => void
+  readonly publish: (content: unknown, ttlMs: number, ageMs?: number) => void
   /** Handles a datagram; returns false if it does not belong to this exchange. */
   readonly receive: (bytes: Buffer, from: string) => boolean
   /** Expires facts and starts comparisons; to be called some times a second. */
@@ -180,7 +180,7 @@
 
   /** Forwards a fact from another hall to the own hall, where other gateways may not have received it. */
   function forward (fact: Fact): void {
-    if (pendingForwarded.length === 0) options.later(BATCH_MS, sendForwarded)
+    if (pendingForwarded.length === 0) options.schedule(BATCH_MS, sendForwarded)
     pendingForwarded.push(fact)
   }
 
@@ -218,12 +218,12 @@
   }
 
   return {
-    tell: (content, ttlMs, ageMs = 0) => {
+    publish: (content, ttlMs, ageMs = 0) => {
       createdCount += 1
       const id = `${idPrefix}/${createdCount}`
       const fact = { id, content, createdAt: now() - ageMs, ttlMs, hash: hashes.hash32(id) }
       if (!add(fact)) return
-      if (pendingOwn.length === 0) options.later(BATCH_MS, sendOwn)
+      if (pendingOwn.length === 0) options.schedule(BATCH_MS, sendOwn)
       pendingOwn.push(fact)
     },
     receive: (bytes, from) => {
--- a/packages/spread/src/createFactExchange/test.ts
+++ b/packages/spread/src/createFactExchange/test.ts
@@ -68,7 +68,7 @@
       },
       onFact: (content) => { self.known.set(content, now()) },
       onDrop: () => { assert.fail('a datagram could not be read') },
-      later: (delayMs, action) => { timeline.at(now() + delayMs, action) },
+      schedule: (delayMs, action) => { timeline.at(now() + delayMs, action) },
       now,
       random
     })
@@ -115,7 +115,7 @@
 function publishFact (fleet: Fleet, index: number, content: unknown): void {
   const gateway = fleet.gateways[index] as Gateway
   gateway.known.set(content, fleet.timeline.now())
-  gateway.exchange.tell(content, TTL_MS)
+  gateway.exchange.publish(content, TTL_MS)
 }
 
 const SMALL: FleetShape = { halls: 3, gatewaysPerHall: 3, lossFraction: 0 }
@@ -197,10 +197,10 @@
 nodeTest.test('facts expire in time, and their number is bounded', () => {
   const fleet = startFleet(SMALL)
   const [first] = fleet.gateways as [Gateway]
-  first.exchange.tell('short', 1000)
+  first.exchange.publish('short', 1000)
   fleet.advance(3000)
   assert.ok(fleet.gateways.every(({ exchange }) => exchange.count() === 0))
-  for (let index = 0; index < 2 * createFactExchange.MAXIMUM_FACTS; index += 1) first.exchange.tell(index, TTL_MS)
+  for (let index = 0; index < 2 * createFactExchange.MAXIMUM_FACTS; index += 1) first.exchange.publish(index, TTL_MS)
   fleet.advance(30_000)
   assert.ok(fleet.gateways.every(({ exchange }) => exchange.count() <= createFactExchange.MAXIMUM_FACTS))
 })
@@ -209,7 +209,7 @@
   let dropped = 0
   const received: unknown[] = []
   const exchange = createFactExchange.createFactExchange({
-    zone: 'hall', peers: () => [], send: () => {}, onFact: (content) => { received.push(content) }, onDrop: () => { dropped += 1 }, later: () => {}, now: () => 0, random: () => 0.5
+    zone: 'hall', peers: () => [], send: () => {}, onFact: (content) => { received.push(content) }, onDrop: () => { dropped += 1 }, schedule: () => {}, now: () => 0, random: () => 0.5
   })
   assert.equal(exchange.receive(Buffer.from('["h",1]'), '10.0.0.1'), false)
   for (const text of ['["f",', '["f",7]', '["q","x"]']) assert.equal(exchange.receive(Buffer.from(text), '10.0.0.1'), true)
--- a/packages/spread/src/createGossip/faults.test.ts
+++ b/packages/spread/src/createGossip/faults.test.ts
@@ -159,7 +159,7 @@
 nodeTest.test('a hall whose first four gateways freeze at once exchanges digests with other halls again long before these gateways expire', async (context) => {
   const fleet = await startSettled(context, THREE_HALLS)
   const frozen = findRelays(fleet, HALL)
-  assert.equal(frozen.length, relays.CANDIDATES)
+  assert.equal(frozen.length, relays.RELAY_CANDIDATES)
   for (const host of frozen) fleet.network.cut(host)
   const greatest = { out: 0, into: 0 }
   fleet.advance(FROZEN_WATCHED_MS, (at) => {
--- a/packages/spread/src/createGossip/index.ts
+++ b/packages/spread/src/createGossip/index.ts
@@ -20,7 +20,7 @@
 export { PEER_EXPIRY_MS } from '../_lib/createMemberExpiry.js'
 export { PEER_LIVE_MS } from '../_lib/fleetView.js'
 export { CONTROL_BYTES_PER_SECOND } from '../_lib/rates.js'
-export { CANDIDATES, LISTENERS } from '../_lib/relays.js'
+export { RELAY_CANDIDATES, RELAY_LISTENERS } from '../_lib/relays.js'
 
 /** Options of {@link createGossip}. */
 export interface GossipOptions {
