--- a/packages/clock/src/createDeadlines/index.ts
+++ b/packages/clock/src/createDeadlineScheduler/index.ts
@@ -2,7 +2,7 @@
 import type * as createSteadyClock from '../createSteadyClock/index.js'
 
 /** Runs an action at a time of the steady clock, in milliseconds; the returned function cancels it. */
-export type AtTime = (time: number, action: () => void) => () => void
+export type ScheduleAt = (time: number, action: () => void) => () => void
 
 interface PendingAction {
   readonly time: number
@@ -17,7 +17,7 @@
  * @param clock - The steady clock.
  * @returns A function that schedules an action.
  */
-export function createDeadlines (clock: Pick<createSteadyClock.SteadyClock, 'now' | 'onSuspension'>): AtTime {
+export function createDeadlineScheduler (clock: Pick<createSteadyClock.SteadyClock, 'now' | 'onSuspension'>): ScheduleAt {
   const pending = new Set<PendingAction>()
 
   function setTimer (entry: PendingAction): void {
--- a/packages/clock/src/createDeadlines/test.ts
+++ b/packages/clock/src/createDeadlineScheduler/test.ts
@@ -1,13 +1,13 @@
 import * as assert from 'node:assert/strict'
 import * as nodeTest from 'node:test'
 import type * as createSteadyClock from '../createSteadyClock/index.js'
-import * as createDeadlines from './index.js'
+import * as createDeadlineScheduler from './index.js'
 
 nodeTest.test('actions that expired during a suspension run at once, all others at their time, and cancelled ones never', (context) => {
   context.mock.timers.enable({ apis: ['setTimeout', 'Date'], now: 0 })
   let lostMs = 0
   const listeners: Array<(suspension: createSteadyClock.Suspension) => void> = []
-  const at = createDeadlines.createDeadlines({ now: () => Date.now() + lostMs, onSuspension: (listener) => { listeners.push(listener) } })
+  const at = createDeadlineScheduler.createDeadlineScheduler({ now: () => Date.now() + lostMs, onSuspension: (listener) => { listeners.push(listener) } })
   const done: string[] = []
   for (const time of [1000, 4000, 9000]) at(time, () => { done.push(String(time)) })
   at(2000, () => { done.push('cancelled') })()
--- a/packages/clock/src/createSteadyClock/index.ts
+++ b/packages/clock/src/createSteadyClock/index.ts
@@ -9,11 +9,11 @@
 /** The clocks of a machine, all in milliseconds. */
 export interface MachineClocks {
   /** Monotonic; stops while the machine is suspended. */
-  readonly steady: () => number
+  readonly monotonic: () => number
   /** Wall clock; keeps running while the machine is suspended, and can be set forward or back. */
   readonly timeOfDay: () => number
   /** Uptime of the machine; keeps running while it is suspended, and is never set. */
-  readonly sinceStart: () => number
+  readonly uptime: () => number
 }
 
 /** A detected suspension. */
@@ -31,7 +31,7 @@
   /** Whether a jump of the time of day is still unexplained; messages from other processes may then be older than they seem. */
   readonly isUncertain: () => boolean
   /** Records by how much the clock of another process has moved ahead of this one since they were last compared; normally about 0. */
-  readonly noteOther: (name: string, aheadMs: number) => void
+  readonly recordPeerOffset: (name: string, aheadMs: number) => void
   /** Registers a listener for suspensions. */
   readonly onSuspension: (listener: (suspension: Suspension) => void) => void
 }
@@ -52,10 +52,10 @@
 const AHEAD_MINIMUM_FRACTION = 0.7
 
 /** The clocks of the machine that runs this process. */
-export const PROCESS_CLOCKS: MachineClocks = {
-  steady: () => performance.now(),
+export const SYSTEM_CLOCKS: MachineClocks = {
+  monotonic: () => performance.now(),
   timeOfDay: () => Date.now(),
-  sinceStart: () => os.uptime() * types.MILLISECONDS_IN_SECOND
+  uptime: () => os.uptime() * types.MILLISECONDS_IN_SECOND
 }
 
 interface ClockJump {
@@ -73,12 +73,12 @@
  * @param clocks - The machine's clocks.
  * @returns The clock; it detects a suspension when it is next read.
  */
-export function createSteadyClock (clocks: MachineClocks = PROCESS_CLOCKS): SteadyClock {
+export function createSteadyClock (clocks: MachineClocks = SYSTEM_CLOCKS): SteadyClock {
   const listeners: Array<(suspension: Suspension) => void> = []
-  const startedAt = clocks.steady()
+  const startedAt = clocks.monotonic()
   /** Offsets of the other two clocks from the monotonic one. */
   let timeOfDayOffsetMs = clocks.timeOfDay() - startedAt
-  let uptimeOffsetMs = clocks.sinceStart() - startedAt
+  let uptimeOffsetMs = clocks.uptime() - startedAt
   /** Whether the uptime is that of this machine; null until it has been checked. */
   let isUptimeTrusted: boolean | null = null
   /** Sum of all suspensions so far. */
@@ -86,8 +86,8 @@
   let unexplainedJump: ClockJump | null = null
 
   function now (): number {
-    const monotonicMs = clocks.steady()
-    if (isUptimeTrusted === null && monotonicMs - startedAt >= UPTIME_CHECK_MS) isUptimeTrusted = Math.abs(clocks.sinceStart() - monotonicMs - uptimeOffsetMs) <= CLOCK_TOLERANCE_MS
+    const monotonicMs = clocks.monotonic()
+    if (isUptimeTrusted === null && monotonicMs - startedAt >= UPTIME_CHECK_MS) isUptimeTrusted = Math.abs(clocks.uptime() - monotonicMs - uptimeOffsetMs) <= CLOCK_TOLERANCE_MS
     const offsetMs = clocks.timeOfDay() - monotonicMs
     const jumpMs = offsetMs - timeOfDayOffsetMs
     timeOfDayOffsetMs = offsetMs
@@ -101,7 +101,7 @@
       unexplainedJump = { jumpMs, at: monotonicMs, aheadPeers: new Set(), unmovedPeers: new Set() }
       return
     }
-    const offsetMs = clocks.sinceStart() - monotonicMs
+    const offsetMs = clocks.uptime() - monotonicMs
     const suspendedMs = offsetMs - uptimeOffsetMs
     uptimeOffsetMs = offsetMs
     if (suspendedMs >= JUMP_MINIMUM_MS) addSuspension(suspendedMs, monotonicMs)
@@ -120,8 +120,8 @@
       now()
       return unexplainedJump !== null
     },
-    noteOther: (name, aheadMs) => {
-      if (unexplainedJump === null || clocks.steady() - unexplainedJump.at < STALE_REPORTS_MS) return
+    recordPeerOffset: (name, aheadMs) => {
+      if (unexplainedJump === null || clocks.monotonic() - unexplainedJump.at < STALE_REPORTS_MS) return
       const { jumpMs, at, aheadPeers, unmovedPeers } = unexplainedJump
       if (aheadMs >= jumpMs * AHEAD_MINIMUM_FRACTION && aheadMs <= jumpMs + CLOCK_TOLERANCE_MS) aheadPeers.add(name)
       else if (aheadMs < JUMP_MINIMUM_MS) unmovedPeers.add(name)
--- a/packages/clock/src/createSteadyClock/test.ts
+++ b/packages/clock/src/createSteadyClock/test.ts
@@ -16,7 +16,7 @@
   let steady = 1000
   let day = 1_790_000_000_000
   let uptime = 50_000
-  const clock = createSteadyClock.createSteadyClock({ steady: () => steady, timeOfDay: () => day, sinceStart: () => uptime })
+  const clock = createSteadyClock.createSteadyClock({ monotonic: () => steady, timeOfDay: () => day, uptime: () => uptime })
   const suspensions: createSteadyClock.Suspension[] = []
   clock.onSuspension((suspension) => { suspensions.push(suspension) })
   const advance = (milliseconds: number): void => {
@@ -89,12 +89,12 @@
   advance(10)
   assert.equal(clock.now(), before + 10)
   assert.equal(clock.isUncertain(), true)
-  for (const name of ['early', 'too early']) clock.noteOther(name, 20)
+  for (const name of ['early', 'too early']) clock.recordPeerOffset(name, 20)
   advance(100)
-  clock.noteOther('one', 4950)
-  clock.noteOther('one', 4950)
+  clock.recordPeerOffset('one', 4950)
+  clock.recordPeerOffset('one', 4950)
   assert.equal(clock.now(), before + 110)
-  clock.noteOther('two', 4400)
+  clock.recordPeerOffset('two', 4400)
   assert.equal(clock.now(), before + 5110)
   assert.equal(clock.isUncertain(), false)
   assert.deepEqual(suspensions, [{ lostMs: 5000, resumedAt: before + 10 }])
@@ -107,11 +107,11 @@
   clock.now()
   advance(110)
   assert.equal(clock.isUncertain(), true)
-  clock.noteOther('one', 3)
-  clock.noteOther('two', -8)
+  clock.recordPeerOffset('one', 3)
+  clock.recordPeerOffset('two', -8)
   assert.equal(clock.isUncertain(), false)
-  clock.noteOther('three', 5000)
-  clock.noteOther('four', 5000)
+  clock.recordPeerOffset('three', 5000)
+  clock.recordPeerOffset('four', 5000)
   assert.equal(clock.now(), before + 110)
 })
 
@@ -122,7 +122,7 @@
   advance(1600)
   assert.equal(clock.isUncertain(), false)
   const before = clock.now()
-  clock.noteOther('one', 5000)
-  clock.noteOther('two', 5000)
+  clock.recordPeerOffset('one', 5000)
+  clock.recordPeerOffset('two', 5000)
   assert.equal(clock.now(), before)
 })
--- a/packages/clock/src/index.ts
+++ b/packages/clock/src/index.ts
@@ -1,3 +1,3 @@
 /** A monotonic clock that includes the time during which the machine was suspended, and timers based on it. */
-export * from './createDeadlines/index.js'
+export * from './createDeadlineScheduler/index.js'
 export * from './createSteadyClock/index.js'
--- a/packages/daemon/src/_lib/fleetTesting.ts
+++ b/packages/daemon/src/_lib/fleetTesting.ts
@@ -104,7 +104,7 @@
       store.put(platform.KINDS.backEnds, options.id, testing.describeEngine(engine, service, 'zone-a', model))
       return engine
     },
-    startGateway: async (host, seeds = [], clocks = clock.PROCESS_CLOCKS) => {
+    startGateway: async (host, seeds = [], clocks = clock.SYSTEM_CLOCKS) => {
       const listen = `[listen]\ncallers = "${host}:${ports.callers}"\nreadiness = "${host}:${ports.readiness}"\ncontrol = "${host}:${ports.control}"\n`
       const role = await startGatewayRole.startGatewayRole(parseSettings(formatCommonSettings('gateway', host, seeds) + listen + storeSection + '[bounds]\nversion_ms = 3000\n[limits]\ngrace_seconds = 1\n'), { clocks, writeLine: () => {} })
       roles.push(role)
--- a/packages/daemon/src/_lib/simulatedFleet.ts
+++ b/packages/daemon/src/_lib/simulatedFleet.ts
@@ -79,8 +79,8 @@
   const trueTime = (): number => suspendedAt ?? now()
   return {
     timeOfDay: () => trueTime() + adjustedMs,
-    sinceStart: () => isStartKnown ? trueTime() : 0,
-    steady: () => trueTime() - suspendedMs,
+    uptime: () => isStartKnown ? trueTime() : 0,
+    monotonic: () => trueTime() - suspendedMs,
     set: (milliseconds) => { adjustedMs += milliseconds },
     suspend: () => { suspendedAt = now() },
     resume: () => {
--- a/packages/daemon/src/_lib/suspendedLease.test.ts
+++ b/packages/daemon/src/_lib/suspendedLease.test.ts
@@ -10,7 +10,7 @@
 nodeTest.test('a holder that was suspended for longer than the lease duration no longer holds the lease', async () => {
   let steady = 0
   let suspendedMs = 0
-  const { now } = clock.createSteadyClock({ steady: () => steady, timeOfDay: () => steady + suspendedMs, sinceStart: () => steady + suspendedMs })
+  const { now } = clock.createSteadyClock({ monotonic: () => steady, timeOfDay: () => steady + suspendedMs, uptime: () => steady + suspendedMs })
   const advance = (milliseconds: number): void => {
     steady += milliseconds
     now()
--- a/packages/daemon/src/createCommonParts/index.ts
+++ b/packages/daemon/src/createCommonParts/index.ts
@@ -33,7 +33,7 @@
   /** Steady clock in milliseconds, which includes the time in which the machine was suspended. */
   readonly now: () => number
   /** Runs an action at a time of the clock. */
-  readonly at: clock.AtTime
+  readonly at: clock.ScheduleAt
   readonly random: () => number
 }
 
@@ -90,7 +90,7 @@
     platformCalls,
     incarnation: createIncarnation(),
     now,
-    at: clock.createDeadlines(steadyClock),
+    at: clock.createDeadlineScheduler(steadyClock),
     random: Math.random
   }
 }
--- a/packages/daemon/src/createEntryCalls/index.ts
+++ b/packages/daemon/src/createEntryCalls/index.ts
@@ -28,7 +28,7 @@
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
   /** Schedules an action at a time of the clock. */
-  readonly at: clock.AtTime
+  readonly at: clock.ScheduleAt
   readonly guard: createEntryQuarantine.EntryGuard
 }
 
--- a/packages/daemon/src/createFleetParts/index.ts
+++ b/packages/daemon/src/createFleetParts/index.ts
@@ -42,7 +42,7 @@
   /** The time of {@link clock}, in milliseconds. */
   readonly now: () => number
   /** Runs an action at a time of {@link clock}. */
-  readonly at: clock.AtTime
+  readonly at: clock.ScheduleAt
 }
 
 /** Calls are no longer sent to older versions from this long before the deadline of a version change. */
@@ -63,7 +63,7 @@
 }
 
 const PROCESS_ENVIRONMENT: PartsEnvironment = {
-  clocks: clock.PROCESS_CLOCKS,
+  clocks: clock.SYSTEM_CLOCKS,
   writeLine: (line) => { process.stdout.write(line + '\n') }
 }
 
@@ -183,7 +183,7 @@
     mirrors: checked.role === 'gateway' ? [configurations, backEndObjects, namedVersions] : [configurations, namedVersions],
     clock: steadyClock,
     now,
-    at: clock.createDeadlines(steadyClock)
+    at: clock.createDeadlineScheduler(steadyClock)
   }
 }
 
--- a/packages/daemon/src/followVersions/index.ts
+++ b/packages/daemon/src/followVersions/index.ts
@@ -75,23 +75,23 @@
     models.set(id.model, versions)
     const heardAt = options.now() - ageMs
     const known = versions.get(id.version)
-    if (known !== undefined && known.heardAt <= heardAt) return false
-    const boundAt = Math.min(known?.boundAt ?? Infinity, ageMs > 0 ? heardAt + options.boundMs : heardAt + currentBoundMs())
-    versions.set(id.version, { id, heardAt, boundAt })
-    if (boundAt < (known?.boundAt ?? Infinity) - EARLIER_BOUND_THRESHOLD_MS) options.onBound(id, { ageMs, leftMs: boundAt - options.now() })
+    if (known !== undefined && known.namedAt <= heardAt) return false
+    const boundAt = Math.min(known?.deadlineAt ?? Infinity, ageMs > 0 ? heardAt + options.boundMs : heardAt + currentBoundMs())
+    versions.set(id.version, { id, namedAt: heardAt, deadlineAt: boundAt })
+    if (boundAt < (known?.deadlineAt ?? Infinity) - EARLIER_BOUND_THRESHOLD_MS) options.onBound(id, { ageMs, leftMs: boundAt - options.now() })
     return known === undefined
   }
 
   function named (model: string): staging.NamedVersion[] {
     const versions = [...(models.get(model)?.values() ?? [])]
-    if (versions.length === 0) return [{ id: { model, version: FIRST_VERSION }, heardAt: startedAt, boundAt: Infinity }]
+    if (versions.length === 0) return [{ id: { model, version: FIRST_VERSION }, namedAt: startedAt, deadlineAt: Infinity }]
     return versions.sort((left, right) => left.id.version - right.id.version)
   }
 
   function noteSuspension ({ lostMs, resumedAt }: clock.Suspension): void {
     for (const versions of models.values()) {
-      for (const [version, { id, heardAt, boundAt }] of versions) {
-        if (heardAt >= resumedAt) versions.set(version, { id, heardAt: heardAt + lostMs, boundAt: boundAt + lostMs })
+      for (const [version, { id, namedAt: heardAt, deadlineAt: boundAt }] of versions) {
+        if (heardAt >= resumedAt) versions.set(version, { id, namedAt: heardAt + lostMs, deadlineAt: boundAt + lostMs })
       }
     }
   }
@@ -103,11 +103,11 @@
     lastSendTo: (model, version) => {
       let earliest = Infinity
       for (const newer of models.get(model)?.values() ?? []) {
-        if (newer.id.version > version) earliest = Math.min(earliest, newer.boundAt - options.marginMs)
+        if (newer.id.version > version) earliest = Math.min(earliest, newer.deadlineAt - options.marginMs)
       }
       return earliest
     },
     news: () => [...models.keys()].flatMap((model) => named(model).slice(-MAXIMUM_ANNOUNCED_VERSIONS)
-      .map(({ id, heardAt }) => ({ model: id.model, version: id.version, ageMs: Math.round(options.now() - heardAt) })))
+      .map(({ id, namedAt: heardAt }) => ({ model: id.model, version: id.version, ageMs: Math.round(options.now() - heardAt) })))
   }
 }
--- a/packages/daemon/src/startAgentRole/index.ts
+++ b/packages/daemon/src/startAgentRole/index.ts
@@ -58,7 +58,7 @@
   const engineAddress = checked.engine.address as string
   const engine = platform.createEngineControl(platform.parseAddress(engineAddress), parts.agents, logUnreadableReport)
   const linkBytesPerSecond = checked.limits.link_megabits_per_second * BITS_PER_MEGABIT / BITS_PER_BYTE
-  const uplink = staging.createPieceUplink(linkBytesPerSecond, () => (isServing() ? SERVING_LINK_SHARE : IDLE_LINK_SHARE) * (stager?.readLinkPart() ?? 1), now)
+  const uplink = staging.createPieceUplink(linkBytesPerSecond, () => (isServing() ? SERVING_LINK_SHARE : IDLE_LINK_SHARE) * (stager?.linkFraction() ?? 1), now)
   let report: gateway.EngineReport | null = null
   let isPaused = false
   let changesInMs: number | null = null
@@ -168,7 +168,7 @@
         suspectUntil.set(node, now() + SUSPECT_TIMEOUT_MS)
         if (!isNew) return
         gossip.sendNow('agent')
-        if (node === self.node) logger.warn('link-narrow', { part: stager?.readLinkPart().toFixed(2) ?? '' })
+        if (node === self.node) logger.warn('link-narrow', { part: stager?.linkFraction().toFixed(2) ?? '' })
       },
       onTurn: (inMs) => { changesInMs = inMs },
       onPause: (next) => {
@@ -182,7 +182,7 @@
       uplink,
       pieceBytes: figures.chunkBytes,
       linkBytesPerSecond,
-      wholeMs: versionBytes * types.MILLISECONDS_IN_SECOND / (linkBytesPerSecond * SERVING_LINK_SHARE) + RAMP_UP_MS,
+      fullFetchMs: versionBytes * types.MILLISECONDS_IN_SECOND / (linkBytesPerSecond * SERVING_LINK_SHARE) + RAMP_UP_MS,
       now,
       random: Math.random
     })
@@ -196,7 +196,7 @@
   /** Lists the agents that all others may depend on for pieces, including this one unless it was voted out. */
   function listDependableAgents (): staging.StagingPeer[] {
     const fetchingMs = stager?.fetchingMs() ?? 0
-    const livePeers = gossip.peers().filter((peer) => staging.isHeard({
+    const livePeers = gossip.peers().filter((peer) => staging.isRecentlyHeard({
       isOwnZone: peer.heartbeat.zone === checked.zone,
       isLive: gossip.isLive(peer),
       silentMs: now() - peer.heardAt,
@@ -207,7 +207,7 @@
       .map(({ heartbeat }) => ({ node: heartbeat.node, zone: heartbeat.zone, address: createFleetParts.getInternalAddress(parts, heartbeat.host) }))
     const reports = [...livePeers.map(({ heartbeat }) => heartbeat), { node: self.node, suspects: [...suspectUntil.keys()] }]
     const selfSuspected = reports.filter(({ node, suspects }) => suspects.includes(node)).map(({ node }) => node)
-    return staging.listDependable(self, others, reports.map(({ suspects }) => suspects), selfSuspected)
+    return staging.listReliableAgents(self, others, reports.map(({ suspects }) => suspects), selfSuspected)
   }
 
   /** Sends a GET request to another agent; null when it does not have what is requested. */
@@ -249,7 +249,7 @@
   function streamPiece (context: Koa.Context, { piece, slices }: staging.ProvidedPiece, { id, node }: { readonly id: staging.VersionId, readonly node: types.NodeId }): void {
     context.respond = false
     nodeStream.pipeline(nodeStream.Readable.from(slices), context.res, (error) => {
-      if (error === null || error === undefined) stager?.noteSent(id, piece, node)
+      if (error === null || error === undefined) stager?.recordSent(id, piece, node)
       else logger.info('piece-cut', { version: id.version, piece, to: node, error: error.message })
     })
   }
@@ -270,7 +270,7 @@
   void readReport()
 
   metrics.gauge('peers_live', () => gossip.peers().filter(gossip.isLive).length)
-  metrics.gauge('link_part', () => stager?.readLinkPart() ?? 1)
+  metrics.gauge('link_part', () => stager?.linkFraction() ?? 1)
   metrics.gauge('engine_running', () => report?.running ?? 0)
   const closeMetrics = await openMetrics.openMetrics(parts, () => ({
     ...createFleetParts.describeSelf(parts, { isLeaving, isStoreLost: false }, null, listSuspects()),
--- a/packages/daemon/src/startGatewayRole/suspended.test.ts
+++ b/packages/daemon/src/startGatewayRole/suspended.test.ts
@@ -19,9 +19,9 @@
 function createMachine (): SuspendedMachine {
   let lostMs = 0
   return {
-    steady: () => performance.now(),
+    monotonic: () => performance.now(),
     timeOfDay: () => Date.now() + lostMs,
-    sinceStart: () => performance.now() + lostMs,
+    uptime: () => performance.now() + lostMs,
     suspend: (milliseconds) => { lostMs += milliseconds }
   }
 }
--- a/packages/fuzz/src/_lib/callFleet.ts
+++ b/packages/fuzz/src/_lib/callFleet.ts
@@ -103,7 +103,7 @@
 /** The fuzzer's back end breaks connections but never ends, so quarantine stays inactive. */
 const INACTIVE_GUARD: daemon.EntryGuard = { isActive: () => false, findBlock: () => null, noteServed: () => {}, onBlocked: () => {}, noteLost: async () => {} }
 const steadyClock = clock.createSteadyClock()
-const scheduleAt = clock.createDeadlines(steadyClock)
+const scheduleAt = clock.createDeadlineScheduler(steadyClock)
 
 async function startBackendDaemon (index: number, incarnationNumber: number, url: string, agents: rpc.HttpAgents, options: CallFleetOptions): Promise<BackendDaemon> {
   const incarnation = types.brandId<types.IncarnationId>(`life-${incarnationNumber}`)
--- a/packages/gateway/src/_lib/callOptions.ts
+++ b/packages/gateway/src/_lib/callOptions.ts
@@ -48,7 +48,7 @@
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
   /** Schedules an action at a time of the monotonic clock. */
-  readonly at: clock.AtTime
+  readonly at: clock.ScheduleAt
   /** Returns a random number from 0 to 1. */
   readonly random: () => number
 }
--- a/packages/gateway/src/createReservationClient/index.ts
+++ b/packages/gateway/src/createReservationClient/index.ts
@@ -8,7 +8,7 @@
   readonly send: (host: string, bytes: Buffer) => void
   readonly count: (name: string, labels?: Readonly<Record<string, string>>) => void
   /** Schedules an action at a time of the monotonic clock. */
-  readonly at: clock.AtTime
+  readonly at: clock.ScheduleAt
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
   /** Returns a random number from 0 to 1. */
--- a/packages/spread/src/_lib/fleetTesting.ts
+++ b/packages/spread/src/_lib/fleetTesting.ts
@@ -205,7 +205,7 @@
     const versionAges = new Map<number, number>()
     const heartbeats: TestDaemon['heartbeats'] = []
     const gossip = await createGossip.createGossip({
-      clock: { isUncertain: () => false, noteOther: () => {} },
+      clock: { isUncertain: () => false, recordPeerOffset: () => {} },
       host: each.host,
       openDatagrams: open(each.host, traffic, heartbeats),
       seeds: (plan.seedsOf ?? seedsOf)(each, planned),
--- a/packages/spread/src/createGossip/index.ts
+++ b/packages/spread/src/createGossip/index.ts
@@ -39,7 +39,7 @@
   /** Called at each tick, some times a second, so that other work can share the wake-up. */
   readonly onTick?: () => void
   /** Clock of this daemon. While it is uncertain, it gets comparisons with the clocks of other daemons, and received messages are not applied. */
-  readonly clock: Pick<clock.SteadyClock, 'isUncertain' | 'noteOther'>
+  readonly clock: Pick<clock.SteadyClock, 'isUncertain' | 'recordPeerOffset'>
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
 }
@@ -150,7 +150,7 @@
   function compareClocks (message: wire.Message, from: string): void {
     const sentAt = message.type === 'digest' ? message.header.sentAt : message.type === 'heartbeat' || message.type === 'news' ? message.sentAt : null
     const aheadMs = sentAt === null ? null : compareClock(from, sentAt, now())
-    if (aheadMs !== null) options.clock.noteOther(from, aheadMs)
+    if (aheadMs !== null) options.clock.recordPeerOffset(from, aheadMs)
   }
 
   function noteHeartbeat ({ heartbeat, sentAt, viewHash, urgency }: wire.Message & { type: 'heartbeat' }, from: string): void {
--- a/packages/spread/src/createGossip/test.ts
+++ b/packages/spread/src/createGossip/test.ts
@@ -28,7 +28,7 @@
   const seed = await openSeed(context)
   context.mock.timers.enable({ apis: ['setInterval', 'Date'] })
   const gossip = await createGossip.createGossip({
-    clock: { isUncertain: () => false, noteOther: () => {} },
+    clock: { isUncertain: () => false, recordPeerOffset: () => {} },
     host: OWN_HOST,
     openDatagrams: openDatagrams.openDatagrams(OWN_HOST, seed.port),
     seeds: [SEED_HOST],
--- a/packages/staging/src/_lib/orderVersion.ts
+++ b/packages/staging/src/_lib/orderVersion.ts
@@ -53,7 +53,7 @@
     options.onPause(false)
   }
 
-  async function startVersion ({ id, heardAt }: staging.NamedVersion, state: staging.EngineState, method: staging.SwitchMethod): Promise<void> {
+  async function startVersion ({ id, namedAt: heardAt }: staging.NamedVersion, state: staging.EngineState, method: staging.SwitchMethod): Promise<void> {
     const outcome = await options.engine.start(id, state.sequence, method)
     options.onEvent('version-ordered', { version: id.version, held: state.held, method, outcome, running: state.running, afterMs: Math.round(options.now() - heardAt) })
     await types.delay(ORDER_SETTLE_MS)
--- a/packages/staging/src/_lib/stagingFleet.ts
+++ b/packages/staging/src/_lib/stagingFleet.ts
@@ -8,7 +8,7 @@
 import type * as createPieceStore from '../createPieceStore/index.js'
 import * as createPieceUplink from '../createPieceUplink/index.js'
 import * as createStager from '../createStager/index.js'
-import * as listDependable from '../listDependable/index.js'
+import * as listReliableAgents from '../listReliableAgents/index.js'
 import type * as staging from '../types/index.js'
 
 /** What differs between simulations. */
@@ -231,7 +231,7 @@
   function startAgent (index: number): void {
     const name = names[index] as string
     const self: staging.StagingPeer = { node: types.brandId(name), zone: regionOf(index), address: { host: name, port: 1 } }
-    const uplink = createPieceUplink.createPieceUplink(LINK_BYTES_PER_MS * types.MILLISECONDS_IN_SECOND, () => UPLINK_SHARE * (running.get(name)?.stager.readLinkPart() ?? 1), now)
+    const uplink = createPieceUplink.createPieceUplink(LINK_BYTES_PER_MS * types.MILLISECONDS_IN_SECOND, () => UPLINK_SHARE * (running.get(name)?.stager.linkFraction() ?? 1), now)
     const known = new Map<string, KnownPeer>()
     const suspectUntil = new Map<types.NodeId, number>()
     let draws = 0
@@ -256,11 +256,11 @@
     }
 
     function listAgents (): staging.StagingPeer[] {
-      const silenceMs = listDependable.computeSilenceMs(running.get(name)?.stager.fetchingMs() ?? 0)
+      const silenceMs = listReliableAgents.computeSilenceMs(running.get(name)?.stager.fetchingMs() ?? 0)
       const live = [...known.values()].filter(({ lastHeardAt }) => now() - lastHeardAt <= silenceMs)
       const resigned = live.filter(({ peer, suspects }) => suspects.includes(peer.node)).map(({ peer }) => peer.node)
       if (listSuspects().includes(self.node)) resigned.push(self.node)
-      return listDependable.listDependable(self, live.map(({ peer }) => peer), [...live.map(({ suspects }) => suspects), listSuspects()], resigned)
+      return listReliableAgents.listReliableAgents(self, live.map(({ peer }) => peer), [...live.map(({ suspects }) => suspects), listSuspects()], resigned)
     }
 
     if (startMs === 0) {
@@ -272,7 +272,7 @@
     const stager = createStager.createStager({
       self,
       model: ID.model,
-      named: () => [{ id: ID, heardAt: startedAt, boundAt: startedAt + DEADLINE_MS }],
+      named: () => [{ id: ID, namedAt: startedAt, deadlineAt: startedAt + DEADLINE_MS }],
       readEngine: async () => ({ bornAt: null, held, running: 0, waiting: 0, isBusy: false, sequence: 0 }),
       engine: {
         putPiece: async (_model, piece, bytes) => {
@@ -295,7 +295,7 @@
           return { value: { piece: answer.piece, bytes: PIECE_BODIES[answer.piece] as Buffer }, slices: answer.slices }
         }, onHead, onBytes)
         if (!fetched.ok || fetched.value === null || !('bytes' in fetched.value)) return fetched
-        running.get(peer.node)?.stager.noteSent(id, fetched.value.piece, self.node)
+        running.get(peer.node)?.stager.recordSent(id, fetched.value.piece, self.node)
         if (peer.zone !== self.zone) counts.crossings += 1
         return fetched
       },
@@ -317,7 +317,7 @@
         if (event === 'version-whole' && agent !== undefined) agent.completeMs = now() - startedAt
       },
       uplink: { backlogMs: uplink.backlogMs, send: () => uplink.send(SENT_PIECE) },
-      wholeMs: PIECES * PIECE_BYTES / (LINK_BYTES_PER_MS * UPLINK_SHARE),
+      fullFetchMs: PIECES * PIECE_BYTES / (LINK_BYTES_PER_MS * UPLINK_SHARE),
       pieceBytes: PIECE_BYTES,
       linkBytesPerSecond: LINK_BYTES_PER_MS * types.MILLISECONDS_IN_SECOND,
       now,
--- a/packages/staging/src/createStager/index.ts
+++ b/packages/staging/src/createStager/index.ts
@@ -23,20 +23,20 @@
   /** Called with the milliseconds until the engine changes its version, or null when no change is expected. */
   readonly onTurn: (inMs: number | null) => void
   /** Milliseconds that fetching all pieces of a version takes on this link. */
-  readonly wholeMs: number
+  readonly fullFetchMs: number
 }
 
 /** Keeps one engine at the newest version. */
 export interface Stager {
   readonly providePiece: offerPieces.ProvidePiece
   /** Records that a piece was sent to a peer. */
-  readonly noteSent: (id: staging.VersionId, piece: number, requester: types.NodeId) => void
+  readonly recordSent: (id: staging.VersionId, piece: number, requester: types.NodeId) => void
   /** Resolves with a version's digests for a peer, or with null when they are not available within `waitMs`. */
   readonly provideManifest: (id: staging.VersionId, waitMs: number) => Promise<readonly types.Digest[] | null>
   /** Milliseconds since the current uninterrupted series of fetches began, 0 when nothing is being fetched. */
   readonly fetchingMs: () => number
   /** Measured fraction of the link's nominal rate where pieces arrive far more slowly; 1 otherwise. */
-  readonly readLinkPart: () => number
+  readonly linkFraction: () => number
   /** Performs the next step; call it regularly, and when the named versions or the engine change. */
   readonly wake: () => void
   readonly stop: () => void
@@ -162,7 +162,7 @@
 
   function planFetch (state: staging.EngineState, named: readonly staging.NamedVersion[]): void {
     const newestComplete = named.findLast((each) => progressOf(each.id.version) === 1)?.id.version ?? 0
-    const target = selectVersion.selectVersion({ held: Math.max(state.held, newestComplete), minimumVersion, named, progressOf, fullFetchMs: options.wholeMs, now: options.now() })
+    const target = selectVersion.selectVersion({ held: Math.max(state.held, newestComplete), minimumVersion, named, progressOf, fullFetchMs: options.fullFetchMs, now: options.now() })
     if (target === null) {
       endFetch()
       return
@@ -178,7 +178,7 @@
     const isPrefetched = prefetch?.target.id.version === target.id.version
     active = isPrefetched ? prefetch : { target, fetcher: null }
     if (isPrefetched) prefetch = null
-    options.onEvent('version-begun', { version: target.id.version, held: state.held, leftMs: Math.round(target.boundAt - options.now()) })
+    options.onEvent('version-begun', { version: target.id.version, held: state.held, leftMs: Math.round(target.deadlineAt - options.now()) })
     if (!isPrefetched) void fetch(active as ActiveFetch)
   }
 
@@ -199,7 +199,7 @@
   }
 
   async function fetch (current: ActiveFetch): Promise<void> {
-    const { id, boundAt, heardAt } = current.target
+    const { id, deadlineAt: boundAt, namedAt: heardAt } = current.target
     const isCurrent = (): boolean => (active === current || prefetch === current) && !stopping.signal.aborted
     const originFallbackAt = boundAt - ORIGIN_FALLBACK_LEAD_MS
     const manifest = await manifests.obtain(id, originFallbackAt, isCurrent)
@@ -224,12 +224,12 @@
       rank: ranked.findIndex((agent) => agent.node === options.self.node),
       engines: ranked.length,
       completeAt: completeAt.get(ready.id.version) ?? options.now() + computeRemainingFetchMs(ready.id.version),
-      deadlineAt: ready.boundAt
+      deadlineAt: ready.deadlineAt
     })
   }
 
   function computeRemainingFetchMs (version: number): number {
-    return (1 - progressOf(version)) * options.wholeMs
+    return (1 - progressOf(version)) * options.fullFetchMs
   }
 
   /** Announces the expected turn while the version is still being fetched, so that gateways route long calls to engines that change later. */
@@ -282,9 +282,9 @@
   return {
     wake,
     providePiece,
-    readLinkPart: window.linkFraction,
+    linkFraction: window.linkFraction,
     fetchingMs: () => fetchingSince === null ? 0 : options.now() - fetchingSince,
-    noteSent: (id, piece, requester) => { store.find(id)?.recordSent(piece, requester) },
+    recordSent: (id, piece, requester) => { store.find(id)?.recordSent(piece, requester) },
     provideManifest: manifests.provide,
     stop: () => {
       stopping.abort()
--- a/packages/staging/src/listDependable/index.ts
+++ b/packages/staging/src/listReliableAgents/index.ts
@@ -30,7 +30,7 @@
  * @param resigned - Agents that report themselves as too slow to provide pieces.
  * @returns The agents.
  */
-export function listDependable (self: staging.StagingPeer, others: readonly staging.StagingPeer[], suspicions: readonly (readonly string[])[], resigned: readonly string[] = []): staging.StagingPeer[] {
+export function listReliableAgents (self: staging.StagingPeer, others: readonly staging.StagingPeer[], suspicions: readonly (readonly string[])[], resigned: readonly string[] = []): staging.StagingPeer[] {
   const mayExcludeResigned = resigned.length <= (others.length + 1) * RESIGNED_MAXIMUM_FRACTION
   const excluded = new Set([...listOutvoted([self, ...others], suspicions), ...(mayExcludeResigned ? resigned : [])])
   const dependable = others.filter((agent) => !excluded.has(agent.node))
@@ -55,7 +55,7 @@
  * @param contact - What is known about contact with the agent.
  * @returns Whether it may provide pieces.
  */
-export function isHeard ({ isOwnZone, isLive, silentMs, fetchingMs }: PeerContact): boolean {
+export function isRecentlyHeard ({ isOwnZone, isLive, silentMs, fetchingMs }: PeerContact): boolean {
   return silentMs <= computeSilenceMs(fetchingMs) || (!isOwnZone && isLive)
 }
 
--- a/packages/staging/src/selectVersion/index.ts
+++ b/packages/staging/src/selectVersion/index.ts
@@ -35,11 +35,11 @@
   const newest = candidates[candidates.length - 1]
   if (newest === undefined) return null
   if (input.held === 0 || canServeBy(newest, findEarliestDeadline(candidates), input)) return newest
-  return candidates.find((named) => named === newest || canServeBy(named, named.boundAt, input)) ?? newest
+  return candidates.find((named) => named === newest || canServeBy(named, named.deadlineAt, input)) ?? newest
 }
 
 function findEarliestDeadline (candidates: readonly staging.NamedVersion[]): number {
-  return candidates.reduce((earliest, named) => Math.min(earliest, named.boundAt), Infinity)
+  return candidates.reduce((earliest, named) => Math.min(earliest, named.deadlineAt), Infinity)
 }
 
 function canServeBy (named: staging.NamedVersion, deadlineAt: number, input: SelectVersionInput): boolean {
--- a/packages/staging/src/selectVersion/test.ts
+++ b/packages/staging/src/selectVersion/test.ts
@@ -6,7 +6,7 @@
 const FULL_FETCH_MS = 4500
 
 function createNamed (version: number, heardAt: number): staging.NamedVersion {
-  return { id: { model: 'm', version }, heardAt, boundAt: heardAt + 8000 }
+  return { id: { model: 'm', version }, namedAt: heardAt, deadlineAt: heardAt + 8000 }
 }
 
 function select (now: number, held: number, named: readonly staging.NamedVersion[], progress: Readonly<Record<number, number>> = {}, minimumVersion = 0): number | null {
--- a/packages/staging/src/types/index.ts
+++ b/packages/staging/src/types/index.ts
@@ -17,9 +17,9 @@
 export interface NamedVersion {
   readonly id: VersionId
   /** Monotonic time in milliseconds at which it was named, as far as this process knows. */
-  readonly heardAt: number
+  readonly namedAt: number
   /** The version's deadline: monotonic time in milliseconds after which no call may begin on an older version. */
-  readonly boundAt: number
+  readonly deadlineAt: number
 }
 
 /** An agent that takes part in the distribution. */
