--- a/packages/daemon/src/_lib/simulatedFleet.ts
+++ b/packages/daemon/src/_lib/simulatedFleet.ts
@@ -270,7 +270,7 @@
           openDatagrams: async (onDatagram) => network.openDatagrams(host, (bytes, from) => { if (random() >= (options.lostPart ?? 0)) onDatagram(bytes, from) }),
           fetchChanges,
           describeSelf,
-          onHeartbeat: (heartbeat) => { createFleetParts.noteVersions(started, heartbeat) },
+          onHeartbeat: (heartbeat) => { createFleetParts.recordPeerVersions(started, heartbeat) },
           onFact: (content, madeAt) => { if (limiter?.noteFact(content, madeAt) !== true) factTimes.set(content, now()) },
           onDatagram: limiter?.receive ?? createAgentPermits.createAgentPermits(started, () => exchange).receive,
           random
--- a/packages/daemon/src/createBackendCalls/index.ts
+++ b/packages/daemon/src/createBackendCalls/index.ts
@@ -6,7 +6,7 @@
 import * as routing from '@switchridge/routing'
 import * as rpc from '@switchridge/rpc'
 import type * as transfer from '@switchridge/transfer'
-import type * as createServing from '../createServing/index.js'
+import type * as createServedVersions from '../createServedVersions/index.js'
 import * as callHeaders from '../_lib/callHeaders.js'
 import * as sendStream from '../_lib/sendStream.js'
 
@@ -34,7 +34,7 @@
   readonly isEngine: boolean
   readonly admission: routing.Admission
   readonly tickets: routing.Tickets
-  readonly serving: createServing.Serving
+  readonly serving: createServedVersions.ServedVersions
   readonly agents: rpc.HttpAgents
   readonly uplink: transfer.LinkPacer
   readonly count: (name: string) => void
--- a/packages/daemon/src/createFleetParts/index.ts
+++ b/packages/daemon/src/createFleetParts/index.ts
@@ -240,7 +240,7 @@
 }
 
 /** Records the versions that a peer's heartbeat reports; returns whether any of them was new. */
-export function noteVersions (parts: FleetParts, heartbeat: spread.Heartbeat): boolean {
+export function recordPeerVersions (parts: FleetParts, heartbeat: spread.Heartbeat): boolean {
   let isNew = false
   for (const { model, version, ageMs } of heartbeat.versions) isNew = parts.versions.note({ model, version }, ageMs) || isNew
   return isNew
--- a/packages/daemon/src/createPlacementLoop/index.ts
+++ b/packages/daemon/src/createPlacementLoop/index.ts
@@ -6,7 +6,7 @@
 import type * as transfer from '@switchridge/transfer'
 import type * as createEngineOrders from '../createEngineOrders/index.js'
 import type * as createSelfFacts from '../createSelfFacts/index.js'
-import type * as createServing from '../createServing/index.js'
+import type * as createServedVersions from '../createServedVersions/index.js'
 import type * as createTableKeeper from '../createTableKeeper/index.js'
 import type * as createWeightsListener from '../createWeightsListener/index.js'
 import * as planTransfer from '../_lib/planTransfer.js'
@@ -18,7 +18,7 @@
   readonly keeper: createTableKeeper.TableKeeper
   readonly store: transfer.ChunkStore
   readonly transfer: transfer.Transfer
-  readonly serving: createServing.Serving
+  readonly serving: createServedVersions.ServedVersions
   readonly orders: createEngineOrders.EngineOrders
   readonly weights: createWeightsListener.WeightsListener
   readonly plan: planTransfer.PlanTransfer
@@ -133,7 +133,7 @@
   async function retire (manifest: types.Digest): Promise<void> {
     if (isServed(manifest) || retiring.has(manifest)) return
     retiring.add(manifest)
-    await serving.drained(manifest)
+    await serving.whenReleased(manifest)
     retiring.delete(manifest)
     const bytes = loaded.get(manifest)
     if (isServed(manifest) || bytes === undefined) return
--- a/packages/daemon/src/createPlacementLoop/test.ts
+++ b/packages/daemon/src/createPlacementLoop/test.ts
@@ -6,7 +6,7 @@
 import * as types from '@switchridge/types'
 import * as createPlacementLoop from './index.js'
 import * as createSelfFacts from '../createSelfFacts/index.js'
-import * as createServing from '../createServing/index.js'
+import * as createServedVersions from '../createServedVersions/index.js'
 import * as createTableKeeper from '../createTableKeeper/index.js'
 import * as createEngineOrders from '../createEngineOrders/index.js'
 
@@ -47,7 +47,7 @@
     revision: 0
   })
   const store = transfer.createChunkStore(1000)
-  const serving = createServing.createServing()
+  const serving = createServedVersions.createServedVersions()
   const orders: string[] = []
   const engine = { failure: '' }
   const recordOrder = async (order: string) => {
--- a/packages/daemon/src/createServing/index.ts
+++ b/packages/daemon/src/createServedVersions/index.ts
@@ -8,7 +8,7 @@
 }
 
 /** The versions that the backend server serves, by row of the table. */
-export interface Serving {
+export interface ServedVersions {
   readonly set: (served: types.ServedVersion) => void
   readonly remove: (row: types.RowId) => void
   readonly find: (row: types.RowId) => types.ServedVersion | undefined
@@ -16,7 +16,7 @@
   /** Pins the version that the row serves now; undefined when it serves none. */
   readonly pin: (row: types.RowId) => Pin | undefined
   /** Resolves when no call has a pin on the version. */
-  readonly drained: (manifest: types.Digest) => Promise<void>
+  readonly whenReleased: (manifest: types.Digest) => Promise<void>
 }
 
 /**
@@ -24,7 +24,7 @@
  *
  * @returns The state.
  */
-export function createServing (): Serving {
+export function createServedVersions (): ServedVersions {
   const rows = new Map<types.RowId, types.ServedVersion>()
   const pins = new Map<types.Digest, number>()
   const waiters = new Map<types.Digest, Array<() => void>>()
@@ -61,7 +61,7 @@
     remove: (row) => { rows.delete(row) },
     find: (row) => rows.get(row),
     list: () => [...rows.values()],
-    drained: async (manifest) => {
+    whenReleased: async (manifest) => {
       if (!pins.has(manifest)) return
       await new Promise<void>((resolve) => { waiters.set(manifest, [...waiters.get(manifest) ?? [], resolve]) })
     }
--- a/packages/daemon/src/startAgentRole/index.ts
+++ b/packages/daemon/src/startAgentRole/index.ts
@@ -82,7 +82,7 @@
     openDatagrams: spread.openDatagrams(checked.host, checked.internal_port),
     fetchChanges: createFleetParts.createChangesFetcher(parts),
     describeSelf: () => createFleetParts.describeSelf(parts, { isLeaving, isStoreLost: false }, report === null ? null : engineNews.formatEngineNews({ address: engineAddress, report, isPaused, changesInMs }, { host: checked.host, soleModel: findSoleModel }), listSuspects()),
-    onHeartbeat: (heartbeat) => { if (createFleetParts.noteVersions(parts, heartbeat)) stager?.wake() },
+    onHeartbeat: (heartbeat) => { if (createFleetParts.recordPeerVersions(parts, heartbeat)) stager?.wake() },
     onFact: () => {},
     onDatagram: (bytes, from) => permits.receive(bytes, from) || reservations.receive(bytes, from),
     random: Math.random
--- a/packages/daemon/src/startBackendRole/index.ts
+++ b/packages/daemon/src/startBackendRole/index.ts
@@ -14,7 +14,7 @@
 import * as createEntryQuarantine from '../createEntryQuarantine/index.js'
 import * as createHeartbeats from '../createHeartbeats/index.js'
 import * as createPlacementLoop from '../createPlacementLoop/index.js'
-import * as createServing from '../createServing/index.js'
+import * as createServedVersions from '../createServedVersions/index.js'
 import * as createWeightsListener from '../createWeightsListener/index.js'
 import * as describeStatus from '../describeStatus/index.js'
 import * as createDrillMethods from '../_lib/createDrillMethods.js'
@@ -85,7 +85,7 @@
   const waitingEntryNodes = new Set<types.NodeId>()
   const admission = routing.createAdmission(DEFAULT_CONCURRENCY, DEFAULT_QUEUE_LENGTH, notifyWaitingEntryNode)
   const tickets = routing.createTickets()
-  const serving = createServing.createServing()
+  const serving = createServedVersions.createServedVersions()
   const backEndState = createBackEndState.createBackEndState({ url: backEnd.url, name: `${node}/${parts.incarnation}`, probe: gateway.probeAddress })
   const calls = createBackendCalls.createBackendCalls({
     identity: parts.identity,
--- a/packages/daemon/src/startGatewayRole/index.ts
+++ b/packages/daemon/src/startGatewayRole/index.ts
@@ -91,7 +91,7 @@
   const { gossip } = exchange
 
   function handleHeartbeat (heartbeat: spread.Heartbeat, delayMs: number, ageMs: number): void {
-    createFleetParts.noteVersions(parts, heartbeat)
+    createFleetParts.recordPeerVersions(parts, heartbeat)
     const engineUpdate = engineNews.parseEngineNews(heartbeat.engine, { host: heartbeat.host, soleModel: findSoleModel })
     if (engineUpdate === null) return
     const backEnd = parts.backEndAt(engineUpdate.address)
--- a/packages/fuzz/src/_lib/callFleet.ts
+++ b/packages/fuzz/src/_lib/callFleet.ts
@@ -119,7 +119,7 @@
     isEngine: false,
     admission,
     tickets,
-    serving: daemon.createServing(),
+    serving: daemon.createServedVersions(),
     agents,
     uplink: transfer.createLinkPacer(0, () => 0),
     count: () => {},
