--- a/packages/daemon/src/createBackEndState/index.ts
+++ b/packages/daemon/src/createBackEndState/index.ts
@@ -14,7 +14,7 @@
 /** Tracks the process instances of the back end beside one daemon. */
 export interface BackEndState {
   /** Probes the back end; resolves to the process instance that terminated, or null while the back end runs or its state is unknown. */
-  readonly readEndedLife: () => Promise<types.BackEndLife | null>
+  readonly findTerminatedInstance: () => Promise<types.BackEndLife | null>
   /** Records an answer of the back end: a later termination is that of another process instance. */
   readonly noteAnswer: () => void
 }
@@ -36,7 +36,7 @@
   let hasTerminated = false
   return {
     noteAnswer: () => { hasTerminated = false },
-    readEndedLife: async () => {
+    findTerminatedInstance: async () => {
       const probe = await options.probe(address, PROBE_TIMEOUT_MS)
       if (quarantine.judgeEnd({ isCutByPeer: true, isLeaving: false, probe }) !== 'ended') return null
       if (!hasTerminated) terminations += 1
--- a/packages/daemon/src/createBackEndState/test.ts
+++ b/packages/daemon/src/createBackEndState/test.ts
@@ -14,13 +14,13 @@
       return probe
     }
   })
-  assert.equal(await state.readEndedLife(), null)
+  assert.equal(await state.findTerminatedInstance(), null)
   probe = 'silent'
-  assert.equal(await state.readEndedLife(), null)
+  assert.equal(await state.findTerminatedInstance(), null)
   probe = 'refused'
-  assert.equal(await state.readEndedLife(), 'node/life/1')
-  assert.equal(await state.readEndedLife(), 'node/life/1')
+  assert.equal(await state.findTerminatedInstance(), 'node/life/1')
+  assert.equal(await state.findTerminatedInstance(), 'node/life/1')
   state.noteAnswer()
-  assert.equal(await state.readEndedLife(), 'node/life/2')
+  assert.equal(await state.findTerminatedInstance(), 'node/life/2')
   assert.ok(asked.every((address) => address === '127.0.0.1:8080'))
 })
--- a/packages/daemon/src/createBackendCalls/index.ts
+++ b/packages/daemon/src/createBackendCalls/index.ts
@@ -39,7 +39,7 @@
   readonly uplink: transfer.LinkPacer
   readonly count: (name: string) => void
   /** Called with the entry node of a call that was refused because the queue for slots was full. */
-  readonly onRefused: (entryNode: types.NodeId) => void
+  readonly onQueueFull: (entryNode: types.NodeId) => void
   /** Schedules an action after a delay in milliseconds that includes time spent suspended; returns a function that cancels it. */
   readonly after: (milliseconds: number, action: () => void) => () => void
   /** Called when the back end's response headers arrive. */
@@ -94,7 +94,7 @@
     context.req.off('aborted', cancel)
     if (!slot.ok) {
       tickets.refuse(ticket)
-      if (slot.error.reason === 'full') options.onRefused(types.brandId<types.NodeId>(context.get('x-switchridge-node')))
+      if (slot.error.reason === 'full') options.onQueueFull(types.brandId<types.NodeId>(context.get('x-switchridge-node')))
       refuse(context, slot.error.reason)
       return
     }
--- a/packages/daemon/src/createDispatcher/index.ts
+++ b/packages/daemon/src/createDispatcher/index.ts
@@ -38,7 +38,7 @@
 export interface Dispatcher {
   readonly submit: (request: DispatchRequest) => Dispatched
   /** Assigns queued calls as far as backend servers have capacity. */
-  readonly pump: () => void
+  readonly dispatchWaiting: () => void
   /** Returns the number of queued calls. */
   readonly waiting: () => number
 }
@@ -119,7 +119,7 @@
     options.health.noteAttempt(facts.node)
   }
 
-  function pump (): void {
+  function dispatchWaiting (): void {
     for (const queue of queues.values()) dispatchQueue(queue)
   }
 
@@ -140,7 +140,7 @@
 
   return {
     submit,
-    pump,
+    dispatchWaiting,
     waiting: () => [...queues.values()].reduce((sum, queue) => sum + queue.size(), 0)
   }
 }
--- a/packages/daemon/src/createEntryCalls/index.ts
+++ b/packages/daemon/src/createEntryCalls/index.ts
@@ -230,7 +230,7 @@
     options.loads.noteEnded(backend.node, result.load)
     if (result.kind === 'unknown' || !NEUTRAL_REFUSALS.has(result.reason)) options.health.noteFailure(backend.node)
     count(`attempt.${result.kind}`)
-    options.dispatcher.pump()
+    options.dispatcher.dispatchWaiting()
   }
 
   async function forwardResponse (context: Koa.Context, result: Extract<sendAttempt.AttemptResult, { kind: 'answered' }>, backend: types.MemberFacts, claim: createClaims.Claim | null): Promise<boolean> {
@@ -249,7 +249,7 @@
     if (isComplete) options.health.noteSuccess(backend.node)
     else if (!context.req.aborted) options.health.noteFailure(backend.node)
     count(isComplete ? 'answered' : 'broken')
-    options.dispatcher.pump()
+    options.dispatcher.dispatchWaiting()
     return isComplete
   }
 
--- a/packages/daemon/src/createEntryQuarantine/index.ts
+++ b/packages/daemon/src/createEntryQuarantine/index.ts
@@ -20,7 +20,7 @@
   /** RPC methods that other entry nodes call. */
   readonly methods: Record<string, rpc.RpcMethod>
   /** Whether this entry node has tried to load the blocks in force, or has had enough time to receive them from peers. */
-  readonly isSettled: () => boolean
+  readonly isInitialized: () => boolean
   /** Counters for operators: remembered terminations of back ends, and blocked calls. */
   readonly counts: () => { readonly 'quarantine.ends': number, readonly 'quarantine.blocked': number }
   readonly stop: () => void
@@ -55,7 +55,7 @@
     settings: settings.quarantine,
     store: adaptStore(parts.store),
     mayAskStore,
-    tell: (content, ttlMs, ageMs) => { facts.publish(content, ttlMs, ageMs) },
+    publishFact: (content, ttlMs, ageMs) => { facts.publish(content, ttlMs, ageMs) },
     onReportedEnd: () => {},
     logger,
     count,
@@ -105,7 +105,7 @@
         return null
       }
     },
-    isSettled: shared.isSettled,
+    isInitialized: shared.isInitialized,
     counts: () => ({ 'quarantine.ends': shared.countEnds(), 'quarantine.blocked': shared.blocks().length }),
     stop: () => {
       isStopped = true
--- a/packages/daemon/src/createFleetExchange/index.ts
+++ b/packages/daemon/src/createFleetExchange/index.ts
@@ -70,7 +70,7 @@
     zone,
     canServe: (peer, kind) => copyParts.holds(copyParts.partOf(kind, peer.role), copyParts.partOf(kind, role)),
     isWatching: (kind) => keptMirrors.get(kind)?.isWatching() ?? false,
-    otherHallGraceMs: watchDuty.farGraceMs,
+    otherHallGraceMs: watchDuty.otherHallGraceMs,
     fetchChanges: options.fetchChanges,
     onAsked: (kind, isOwnHall) => { parts.metrics.count('copies_asked', { kind, hall: formatHallLabel(isOwnHall) }) },
     onAdopted: recordAdoptedCopy,
--- a/packages/daemon/src/createFleetParts/index.ts
+++ b/packages/daemon/src/createFleetParts/index.ts
@@ -12,7 +12,7 @@
 import * as types from '@switchridge/types'
 import * as createBackEndList from '../_lib/createBackEndList.js'
 import * as createCopyAnswers from '../createCopyAnswers/index.js'
-import * as followVersions from '../followVersions/index.js'
+import * as createVersionRecord from '../createVersionRecord/index.js'
 import * as readCopyAnswer from '../readCopyAnswer/index.js'
 import * as copyParts from '../_lib/copyParts.js'
 
@@ -33,7 +33,7 @@
   readonly soleModelOf: (service: types.ServiceName) => string | null
   readonly areBackEndsKnown: () => boolean
   readonly onBackEnds: (listener: () => void) => void
-  readonly versions: followVersions.VersionFollower
+  readonly versions: createVersionRecord.VersionRecord
   readonly areVersionsKnown: () => boolean
   readonly onVersions: (listener: () => void) => void
   /** Mirrors of the kinds that the role needs: an agent needs no list of back ends, and only part of the configuration. */
@@ -84,7 +84,7 @@
   const configurations = store.createMirror(platform.KINDS.configuration)
   const backEndObjects = store.createMirror(platform.KINDS.backEnds)
   const namedVersions = store.createMirror(platform.KINDS.versions)
-  const versions = followVersions.createVersionFollower({ boundMs: checked.bounds.version_ms, marginMs: VERSION_MARGIN_MS, startMs: checked.role === 'agent' ? checked.bounds.version_ms : STARTUP_GRACE_MS, onBound: logBound, now })
+  const versions = createVersionRecord.createVersionRecord({ boundMs: checked.bounds.version_ms, marginMs: VERSION_MARGIN_MS, startupBoundMs: checked.role === 'agent' ? checked.bounds.version_ms : STARTUP_GRACE_MS, onBound: logBound, now })
   const routeListeners: Array<(table: gateway.RouteTable) => void> = []
   let routes: gateway.RouteTable | null = null
   const loggedFigures = new Map<types.ServiceName, string>()
@@ -111,7 +111,7 @@
     for (const listener of routeListeners) listener(routes)
   }
 
-  function logBound ({ model, version }: staging.VersionId, { ageMs, leftMs }: followVersions.VersionBound): void {
+  function logBound ({ model, version }: staging.VersionId, { ageMs, leftMs }: createVersionRecord.VersionBound): void {
     logger.info('version-bound', { model, version, ageMs: Math.round(ageMs), leftMs: Math.round(leftMs) })
   }
 
@@ -203,7 +203,7 @@
     isLeaving,
     isStoreLost,
     copies: Object.fromEntries(parts.mirrors.map((mirror) => [mirror.kind, mirror.state()])),
-    versions: parts.versions.news(),
+    versions: parts.versions.recentVersions(),
     suspects,
     engine
   }
--- a/packages/daemon/src/createRateLimiter/index.ts
+++ b/packages/daemon/src/createRateLimiter/index.ts
@@ -22,11 +22,11 @@
 /** The rate limiter of a gateway. */
 export interface GatewayRateLimiter extends gateway.RateLimiter {
   /** Records a limit in requests per second from a back end's report, with the monotonic time of the report in milliseconds. Reports reach all gateways. */
-  readonly noteReported: (backEnd: gateway.BackEnd, perSecond: number, at: number) => void
+  readonly noteReportedLimit: (backEnd: gateway.BackEnd, perSecond: number, at: number) => void
   /** Lists the limits in force, including those learned from other gateways. */
   readonly inForce: () => rateLimits.RateLimit[]
   /** Forgets the limits of back ends that are no longer listed. */
-  readonly keepListed: () => void
+  readonly removeUnlisted: () => void
   /** Handles a fact that another gateway created at a monotonic time in milliseconds; returns false if the fact is not about rate limits. */
   readonly noteFact: (content: unknown, madeAt: number) => boolean
   /** Handles a datagram; returns false if it is not about permits. */
@@ -110,9 +110,9 @@
       return limit === null || limit.perSecond === null ? null : { perSecond: limit.perSecond, waitMs: client.waitMs(limit.life, isLate) }
     },
     noteResponse: ({ id, bornAt }, rate, sentAt) => { record.noteAnswer(types.formatLife(id, bornAt), rate, sentAt) },
-    noteReported: ({ id, bornAt }, perSecond, heardAt) => { record.noteTold({ life: types.formatLife(id, bornAt), perSecond, heardAt }) },
+    noteReportedLimit: ({ id, bornAt }, perSecond, heardAt) => { record.noteTold({ life: types.formatLife(id, bornAt), perSecond, heardAt }) },
     inForce: record.inForce,
-    keepListed: () => { record.keepOnly(new Set(backEnds().map(({ id, bornAt }) => types.formatLife(id, bornAt)))) },
+    removeUnlisted: () => { record.keepOnly(new Set(backEnds().map(({ id, bornAt }) => types.formatLife(id, bornAt)))) },
     noteFact: (content, madeAt) => {
       if (!rateLimitFacts.isFact(content)) return false
       const limit = rateLimitFacts.parseFact(content, madeAt)
--- a/packages/daemon/src/createSharedQuarantine/index.ts
+++ b/packages/daemon/src/createSharedQuarantine/index.ts
@@ -13,7 +13,7 @@
   /** Whether this daemon reads the store on behalf of others. */
   readonly mayAskStore: () => boolean
   /** Publishes a fact that was created `ageMs` milliseconds ago to all peers, which keep it until its age is `ttlMs`. */
-  readonly tell: (content: unknown, ttlMs: number, ageMs: number) => void
+  readonly publishFact: (content: unknown, ttlMs: number, ageMs: number) => void
   /** Called with terminations of back ends that peers observed, and their monotonic time in milliseconds. */
   readonly onReportedEnd: (life: types.BackEndLife, at: number) => void
   readonly logger: observability.Logger
@@ -46,7 +46,7 @@
   /** Handles a fact that another daemon created at a monotonic time in milliseconds. */
   readonly noteFact: (content: unknown, madeAt: number) => void
   /** Whether this daemon has tried to load the blocks in force from the store, or has had enough time to receive them from peers. */
-  readonly isSettled: () => boolean
+  readonly isInitialized: () => boolean
   readonly blocks: () => quarantine.CallBlock[]
   readonly countSuspects: () => number
   /** Number of remembered terminations of back ends, including those that peers reported. */
@@ -80,7 +80,7 @@
   noteServed: () => {},
   onBlocked: () => {},
   noteFact: () => {},
-  isSettled: () => true,
+  isInitialized: () => true,
   blocks: () => [],
   countSuspects: () => 0,
   countEnds: () => 0,
@@ -143,7 +143,7 @@
   }
 
   function publish (fact: quarantineFacts.QuarantineFact, ttlMs: number, ageMs = 0): void {
-    options.tell(quarantineFacts.formatFact(fact), ttlMs, ageMs)
+    options.publishFact(quarantineFacts.formatFact(fact), ttlMs, ageMs)
   }
 
   function noteEnd (ended: EndedBackEnd, call: quarantine.CallFingerprint): void {
@@ -186,7 +186,7 @@
     isActive: record.isActive,
     findBlock: record.findBlock,
     onBlocked: (listener) => { listeners.push(listener) },
-    isSettled: archive.isInitialized,
+    isInitialized: archive.isInitialized,
     blocks: record.blocks,
     countSuspects: record.countSuspects,
     countEnds: record.countEnds,
--- a/packages/daemon/src/followVersions/index.ts
+++ b/packages/daemon/src/createVersionRecord/index.ts
@@ -10,7 +10,7 @@
 }
 
 /** The record of announced versions. */
-export interface VersionFollower {
+export interface VersionRecord {
   /**
    * Records a version announced by the store or a peer; `ageMs` is the time since any daemon first heard of it.
    * Returns whether the version was unknown.
@@ -21,19 +21,19 @@
   /** Returns the monotonic time in milliseconds from which no call may be sent to a version, since it would begin after the bound. */
   readonly lastSendTo: (model: string, version: number) => number
   /** The newest few versions of each model, for peers. */
-  readonly news: () => readonly VersionAnnouncement[]
+  readonly recentVersions: () => readonly VersionAnnouncement[]
   /** Corrects times recorded between the end of a suspension and its detection: the clock had not yet included the time lost. */
   readonly noteSuspension: (suspension: clock.Suspension) => void
 }
 
 /** Options of the record of announced versions. */
-export interface VersionFollowerOptions {
+export interface VersionRecordOptions {
   /** Time from the announcement of a version until no call may begin on an older one, in milliseconds. */
   readonly boundMs: number
   /** Calls are no longer sent to older versions this many milliseconds before the bound, since they may queue at the engine. */
   readonly marginMs: number
   /** Bound in milliseconds, if shorter than the usual one, for versions that this process reads right after its start, since they may have been announced before it. */
-  readonly startMs: number
+  readonly startupBoundMs: number
   /** Called when a version is new, or when its bound moves earlier by a second or more. */
   readonly onBound: (id: staging.VersionId, bound: VersionBound) => void
   /** Monotonic clock in milliseconds. */
@@ -61,13 +61,13 @@
  * @param options - Bounds, callback and clock.
  * @returns The record.
  */
-export function createVersionFollower (options: VersionFollowerOptions): VersionFollower {
+export function createVersionRecord (options: VersionRecordOptions): VersionRecord {
   const models = new Map<string, Map<number, staging.NamedVersion>>()
   const startedAt = options.now()
 
   /** Returns the bound for a version of age 0. Right after its start a process can't know how long ago the version was announced, so the shorter bound applies. */
   function currentBoundMs (): number {
-    return options.now() - startedAt < STARTUP_WINDOW_MS ? Math.min(options.startMs, options.boundMs) : options.boundMs
+    return options.now() - startedAt < STARTUP_WINDOW_MS ? Math.min(options.startupBoundMs, options.boundMs) : options.boundMs
   }
 
   function note (id: staging.VersionId, ageMs: number): boolean {
@@ -107,7 +107,7 @@
       }
       return earliest
     },
-    news: () => [...models.keys()].flatMap((model) => named(model).slice(-MAXIMUM_ANNOUNCED_VERSIONS)
+    recentVersions: () => [...models.keys()].flatMap((model) => named(model).slice(-MAXIMUM_ANNOUNCED_VERSIONS)
       .map(({ id, namedAt: heardAt }) => ({ model: id.model, version: id.version, ageMs: Math.round(options.now() - heardAt) })))
   }
 }
--- a/packages/daemon/src/followVersions/test.ts
+++ b/packages/daemon/src/createVersionRecord/test.ts
@@ -1,9 +1,9 @@
 import * as assert from 'node:assert/strict'
 import * as nodeTest from 'node:test'
-import * as followVersions from './index.js'
+import * as createVersionRecord from './index.js'
 
-function createFollower (time: { now: number }): followVersions.VersionFollower {
-  return followVersions.createVersionFollower({ boundMs: 8000, marginMs: 1000, startMs: 2800, onBound: () => {}, now: () => time.now })
+function createFollower (time: { now: number }): createVersionRecord.VersionRecord {
+  return createVersionRecord.createVersionRecord({ boundMs: 8000, marginMs: 1000, startupBoundMs: 2800, onBound: () => {}, now: () => time.now })
 }
 
 nodeTest.test('an older version gets no calls once the margin before the bound begins', () => {
--- a/packages/daemon/src/createWatchDuty/index.ts
+++ b/packages/daemon/src/createWatchDuty/index.ts
@@ -33,7 +33,7 @@
    */
   readonly mayWatch: (isKnown: boolean, isReachable: boolean, scope: WatchScope) => boolean
   /** How long this daemon waits for its own hall before it requests a copy from another hall, in milliseconds. */
-  readonly farGraceMs: () => number
+  readonly otherHallGraceMs: () => number
 }
 
 /**
@@ -123,6 +123,6 @@
       if (now() - startedAt < STARTUP_WAIT_MS) return false
       return elect().isWatcher[scope] || (!isKnown && mayList())
     },
-    farGraceMs: () => options.role === 'agent' ? AGENT_REMOTE_HALL_DELAY_MS : Math.min(REMOTE_HALL_MAXIMUM_MS, (1 + elect().rank) * REMOTE_HALL_STEP_MS)
+    otherHallGraceMs: () => options.role === 'agent' ? AGENT_REMOTE_HALL_DELAY_MS : Math.min(REMOTE_HALL_MAXIMUM_MS, (1 + elect().rank) * REMOTE_HALL_STEP_MS)
   }
 }
--- a/packages/daemon/src/createWatchDuty/test.ts
+++ b/packages/daemon/src/createWatchDuty/test.ts
@@ -130,7 +130,7 @@
 nodeTest.test('the first gateways of the ranking request from another hall first', () => {
   const hall = createHall(GATEWAYS)
   hall.advance(200)
-  const waits = hall.ranked.map((node) => hall.duties.get(node)?.farGraceMs())
+  const waits = hall.ranked.map((node) => hall.duties.get(node)?.otherHallGraceMs())
   assert.deepEqual(waits.slice(0, 7), [200, 400, 600, 800, 1000, 1200, 1200])
 })
 
--- a/packages/daemon/src/startBackendRole/index.ts
+++ b/packages/daemon/src/startBackendRole/index.ts
@@ -99,7 +99,7 @@
     agents: parts.agents,
     uplink,
     count,
-    onRefused: (entryNode) => { waitingEntryNodes.add(entryNode) },
+    onQueueFull: (entryNode) => { waitingEntryNodes.add(entryNode) },
     after: (milliseconds, action) => parts.at(parts.now() + milliseconds, action),
     onAnswer: backEndState.noteAnswer
   })
@@ -153,7 +153,7 @@
       const request = schemas.ticketSchema.parse(params)
       return request.incarnation === parts.incarnation ? tickets.resolve(types.brandId<types.TicketId>(request.ticket)) : 'unknown'
     },
-    [createEntryQuarantine.ENDED_METHOD]: backEndState.readEndedLife,
+    [createEntryQuarantine.ENDED_METHOD]: backEndState.findTerminatedInstance,
     'transfer.announce': (params) => {
       const announcement = schemas.announceSchema.parse(params)
       transfers.noteHave(types.brandId<types.Digest>(announcement.digest), types.brandId<types.NodeId>(announcement.node), announcement.have)
--- a/packages/daemon/src/startEntryRole/index.ts
+++ b/packages/daemon/src/startEntryRole/index.ts
@@ -100,7 +100,7 @@
     seeds: createCommonParts.readSeeds(settings),
     readLoad: () => null,
     noteLoad: (node, load) => { loads.noteStated(node, load) },
-    onRefresh: dispatcher.pump,
+    onRefresh: dispatcher.dispatchWaiting,
     random: parts.random
   })
   const watch = createTableWatch.createTableWatch({
@@ -123,7 +123,7 @@
     'slots.free': (params) => {
       const hint = schemas.hintSchema.parse(params)
       loads.noteStated(types.brandId<types.NodeId>(hint.node), hint.load)
-      dispatcher.pump()
+      dispatcher.dispatchWaiting()
       return null
     },
     ...quarantine.methods,
@@ -151,7 +151,7 @@
   function findUnhealthyReason (): string {
     if (isLeaving) return 'leaving'
     if (keeper.current().revision === 0) return 'no table yet'
-    if (!quarantine.isSettled()) return 'blocked calls not read yet'
+    if (!quarantine.isInitialized()) return 'blocked calls not read yet'
     const hasBackend = view.members().some((member) => member.facts.role === 'backend' && member.condition === 'live' && !member.leaving)
     return hasBackend ? '' : 'no live backend server'
   }
@@ -161,7 +161,7 @@
     void heartbeats.sendNow()
   })
   const sweepTimer = setInterval(() => { if (isClaimSweeper()) void claims.sweep() }, SWEEP_INTERVAL_MS)
-  const dispatchTimer = setInterval(dispatcher.pump, DISPATCH_INTERVAL_MS)
+  const dispatchTimer = setInterval(dispatcher.dispatchWaiting, DISPATCH_INTERVAL_MS)
   heartbeats.start()
   watch.start()
   nodeList.start()
--- a/packages/daemon/src/startGatewayRole/index.ts
+++ b/packages/daemon/src/startGatewayRole/index.ts
@@ -56,7 +56,7 @@
     mayAskStore: () => startedExchange?.mayAskStore() ?? false,
     backEnds: parts.backEnds,
     book,
-    tell: (content, ttlMs, ageMs) => { startedExchange?.facts.publish(content, ttlMs, ageMs) },
+    publishFact: (content, ttlMs, ageMs) => { startedExchange?.facts.publish(content, ttlMs, ageMs) },
     probe: gateway.probeAddress,
     logger,
     count: metrics.count,
@@ -97,7 +97,7 @@
     const backEnd = parts.backEndAt(engineUpdate.address)
     if (backEnd === undefined) return
     book.noteReport(backEnd.id, engineUpdate, now() - delayMs - ageMs, delayMs)
-    if (engineUpdate.report.limitPerSecond !== null) limiter.noteReported(backEnd, engineUpdate.report.limitPerSecond, now() - delayMs - ageMs)
+    if (engineUpdate.report.limitPerSecond !== null) limiter.noteReportedLimit(backEnd, engineUpdate.report.limitPerSecond, now() - delayMs - ageMs)
   }
 
   function findSoleModel (address: string): string | null {
@@ -168,14 +168,14 @@
   parts.onRoutes((table) => { server.setLimits(table.configuration.limits) })
   parts.onBackEnds(() => {
     book.keepOnly(parts.backEnds())
-    limiter.keepListed()
+    limiter.removeUnlisted()
   })
   const readiness = checked.listen.readiness === undefined
     ? null
     : await openTextServer.openTextServer(platform.parseAddress(checked.listen.readiness), { [platform.READINESS_PATH]: () => ({ status: isReady() ? OK : UNAVAILABLE }) })
 
   function isReady (): boolean {
-    return !isLeaving && parts.routes() !== null && parts.areBackEndsKnown() && callQuarantine.isSettled()
+    return !isLeaving && parts.routes() !== null && parts.areBackEndsKnown() && callQuarantine.isInitialized()
   }
 
   async function drain (): Promise<void> {
--- a/packages/fuzz/src/_lib/callFleet.ts
+++ b/packages/fuzz/src/_lib/callFleet.ts
@@ -123,7 +123,7 @@
     agents,
     uplink: transfer.createLinkPacer(0, () => 0),
     count: () => {},
-    onRefused: () => {},
+    onQueueFull: () => {},
     after: (milliseconds, action) => scheduleAt(steadyClock.now() + milliseconds, action),
     onAnswer: () => {}
   }))
