--- a/packages/daemon/src/_lib/callHeaders.ts
+++ b/packages/daemon/src/_lib/callHeaders.ts
@@ -12,7 +12,7 @@
 export const CALL_HEADER = 'x-switchridge-call'
 export const REQUEST_ID_HEADER = 'x-request-id'
 export const TIMEOUT_HEADER = 'x-request-timeout-ms'
-export const KEY_HEADER = 'idempotency-key'
+export const IDEMPOTENCY_KEY_HEADER = 'idempotency-key'
 /** Marks a stored answer to an earlier request with the same idempotency key. */
 export const REPLAYED_HEADER = 'x-switchridge-replayed'
 export const ENGINE_VERSION_HEADER = 'x-engine-version'
@@ -23,7 +23,7 @@
 const HOP_BY_HOP_HEADERS = new Set(['connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'te', 'trailer', 'transfer-encoding', 'upgrade', 'host', 'content-length', 'expect', 'authorization'])
 
 /** Copies the headers to forward to the next process, without hop-by-hop headers and the project's own `x-switchridge-` headers. */
-export function copyHeaders (headers: http.IncomingHttpHeaders): Record<string, string | string[]> {
+export function selectForwardedHeaders (headers: http.IncomingHttpHeaders): Record<string, string | string[]> {
   const forwarded: Record<string, string | string[]> = {}
   for (const [name, value] of Object.entries(headers)) {
     if (value === undefined || HOP_BY_HOP_HEADERS.has(name) || name.startsWith('x-switchridge-')) continue
--- a/packages/daemon/src/_lib/callOracle.ts
+++ b/packages/daemon/src/_lib/callOracle.ts
@@ -2,7 +2,7 @@
 import type * as testing from '@switchridge/platform-testing'
 
 /** A call and its answer, as the caller observed them. */
-export interface SeenCall {
+export interface ObservedCall {
   readonly id: string
   readonly kind: 'repeatable' | 'once' | 'stream'
   /** HTTP status; 0 if the connection ended without an answer. */
@@ -33,13 +33,13 @@
  * @param maximumAttempts - Maximum number of engines that a call may be sent to.
  * @returns The violations; empty if every guarantee holds.
  */
-export function findViolations (calls: readonly SeenCall[], arrivals: readonly testing.Arrival[], expectedEvents: number, maximumAttempts: number): Violation[] {
+export function findViolations (calls: readonly ObservedCall[], arrivals: readonly testing.Arrival[], expectedEvents: number, maximumAttempts: number): Violation[] {
   const callIds = new Set(calls.map((call) => call.id))
   const unsolicited = arrivals.filter((arrival) => !callIds.has(arrival.requestId)).map((arrival): Violation => ({ rule: 'unasked', id: arrival.requestId }))
   return [...unsolicited, ...calls.flatMap((call) => checkCall(call, arrivals.filter((arrival) => arrival.requestId === call.id), expectedEvents, maximumAttempts))]
 }
 
-function checkCall (call: SeenCall, ownArrivals: readonly testing.Arrival[], expectedEvents: number, maximumAttempts: number): Violation[] {
+function checkCall (call: ObservedCall, ownArrivals: readonly testing.Arrival[], expectedEvents: number, maximumAttempts: number): Violation[] {
   const executions = ownArrivals.filter((arrival) => arrival.ran).length
   const brokenRules: Array<Violation['rule']> = []
   if (call.kind === 'once' && executions > 1) brokenRules.push('twice')
@@ -49,14 +49,14 @@
   return brokenRules.map((rule) => ({ rule, id: call.id }))
 }
 
-function checkSuccessfulAnswer (call: SeenCall, expectedEvents: number): Array<Violation['rule']> {
+function checkSuccessfulAnswer (call: ObservedCall, expectedEvents: number): Array<Violation['rule']> {
   if (call.kind === 'stream') return checkStream(call, expectedEvents)
   if (!call.isWhole) return []
   if (call.seal === null || !call.body.endsWith(` to ${call.id}`)) return ['foreign-answer']
   return call.body === `answer of ${call.seal.replace('seal-', '')} to ${call.id}` ? [] : ['short-answer']
 }
 
-function checkStream (call: SeenCall, expectedEvents: number): Array<Violation['rule']> {
+function checkStream (call: ObservedCall, expectedEvents: number): Array<Violation['rule']> {
   const ids = [...call.body.matchAll(/^id: (\d+)$/gm)].map((match) => Number(match[1]))
   if (ids.some((id, index) => id !== index + 1)) return ['event-order']
   return call.isWhole && ids.length !== expectedEvents ? ['short-answer'] : []
--- a/packages/daemon/src/_lib/copyParts.ts
+++ b/packages/daemon/src/_lib/copyParts.ts
@@ -10,17 +10,17 @@
 export const COPIES_PATH = '/copies/'
 
 /** Returns the part of a kind that a role keeps. Agents make no decision that needs routes and keys, so they keep only the services. */
-export function partOf (kind: string, role: spread.Heartbeat['role']): CopyPart {
+export function partForRole (kind: string, role: spread.Heartbeat['role']): CopyPart {
   return role === 'agent' && kind === platform.KINDS.configuration ? 'services' : 'whole'
 }
 
 /** Returns whether a daemon that has one part can serve the wanted one. */
-export function holds (available: CopyPart, wanted: CopyPart): boolean {
+export function includesPart (available: CopyPart, wanted: CopyPart): boolean {
   return available === 'whole' || available === wanted
 }
 
 /** Extracts the wanted part of objects. */
-export function takePart (objects: readonly store.StoredObject[], wanted: CopyPart): readonly store.StoredObject[] {
+export function extractPart (objects: readonly store.StoredObject[], wanted: CopyPart): readonly store.StoredObject[] {
   return wanted === 'whole' ? objects : objects.map((object) => ({ ...object, value: platform.takeServices(object.value) }))
 }
 
--- a/packages/daemon/src/_lib/createAgentPermits.ts
+++ b/packages/daemon/src/_lib/createAgentPermitServer.ts
@@ -10,7 +10,7 @@
  * @param exchange - Returns the exchange that sends the replies; null until it is open.
  * @returns The permit server.
  */
-export function createAgentPermits ({ now, metrics }: Pick<createFleetParts.FleetParts, 'now' | 'metrics'>, exchange: () => createFleetExchange.FleetExchange | null): rateLimits.PermitServer {
+export function createAgentPermitServer ({ now, metrics }: Pick<createFleetParts.FleetParts, 'now' | 'metrics'>, exchange: () => createFleetExchange.FleetExchange | null): rateLimits.PermitServer {
   return rateLimits.createPermitServer({
     counter: rateLimits.createPermitCounter(now),
     partOf: () => 1,
--- a/packages/daemon/src/_lib/createBackEndList.ts
+++ b/packages/daemon/src/_lib/createBackEndList.ts
@@ -18,7 +18,7 @@
   /** Returns the backend server at an address of the form IP:PORT; the last listed one if there are several. */
   readonly at: (address: string) => gateway.BackEnd | undefined
   /** Replaces the list with the current entries. Must also be called when the number of layers of a service has changed. */
-  readonly adopt: (objects: ReadonlyMap<string, store.StoredObject>) => void
+  readonly update: (objects: ReadonlyMap<string, store.StoredObject>) => void
 }
 
 /** Result of parsing an entry, with the number of layers that it was parsed for. */
@@ -52,7 +52,7 @@
   return {
     all: () => backEnds,
     at: (address) => byAddress.get(address),
-    adopt: (objects) => {
+    update: (objects) => {
       backEnds = [...objects.values()].flatMap((object) => parse(object) ?? [])
       byAddress = new Map(backEnds.map((backEnd) => [`${backEnd.address.host}:${backEnd.address.port}`, backEnd]))
     }
--- a/packages/daemon/src/_lib/planTransfer.ts
+++ b/packages/daemon/src/_lib/createTransferPlanner.ts
@@ -5,7 +5,7 @@
 import * as transfer from '@switchridge/transfer'
 
 /** Plans the transfer of a row to this node. */
-export type PlanTransfer = (row: types.ModelRow, members: readonly membership.Member[]) => transfer.WantedVersion
+export type TransferPlanner = (row: types.ModelRow, members: readonly membership.Member[]) => transfer.WantedVersion
 
 /** Transfer policies that the settings can name. */
 export type PolicyName = 'swarm' | 'random-chunk' | 'chain' | 'tree' | 'origin'
@@ -21,7 +21,7 @@
  * @param policyName - The policy to use for all transfers.
  * @returns The function.
  */
-export function createPlanTransfer (self: transfer.Peer, table: () => types.Table, policyName: PolicyName): PlanTransfer {
+export function createTransferPlanner (self: transfer.Peer, table: () => types.Table, policyName: PolicyName): TransferPlanner {
   return (row, members) => {
     const holders = listHolders(row, table(), members)
     const group = findOriginGroup(row, self, holders, members)
--- a/packages/daemon/src/_lib/engineNews.test.ts
+++ b/packages/daemon/src/_lib/engineStatus.test.ts
@@ -1,18 +1,18 @@
 import * as assert from 'node:assert/strict'
 import * as nodeTest from 'node:test'
-import * as engineNews from './engineNews.js'
+import * as engineStatus from './engineStatus.js'
 
 const HOST = '10.0.1.1'
-const STATUS: engineNews.EngineStatus = {
+const STATUS: engineStatus.EngineStatus = {
   address: `${HOST}:8585`,
   isPaused: true,
   changesInMs: 120,
   report: { bornAt: 1_790_000_000_123, running: 3, waiting: 1, isBusy: true, sequence: 4, pace: 1.5, limitPerSecond: null, models: new Map([['m', 2]]) }
 }
 
-function roundTrip (status: engineNews.EngineStatus, host: string, soleModel: string | null = 'm'): engineNews.EngineStatus | null {
+function roundTrip (status: engineStatus.EngineStatus, host: string, soleModel: string | null = 'm'): engineStatus.EngineStatus | null {
   const context = { host, soleModel: () => soleModel }
-  return engineNews.parseEngineNews(JSON.parse(JSON.stringify(engineNews.formatEngineNews(status, context))), context)
+  return engineStatus.decodeEngineStatus(JSON.parse(JSON.stringify(engineStatus.encodeEngineStatus(status, context))), context)
 }
 
 nodeTest.test('an engine status is decoded as it was encoded, including the start time, on any host', () => {
@@ -30,10 +30,10 @@
 })
 
 nodeTest.test('a version without a model name is ignored while the receiver does not know the model', () => {
-  const encoded = engineNews.formatEngineNews(STATUS, { host: HOST, soleModel: () => 'm' })
-  assert.equal(engineNews.parseEngineNews(encoded, { host: HOST, soleModel: () => null }), null)
+  const encoded = engineStatus.encodeEngineStatus(STATUS, { host: HOST, soleModel: () => 'm' })
+  assert.equal(engineStatus.decodeEngineStatus(encoded, { host: HOST, soleModel: () => null }), null)
 })
 
 nodeTest.test('a malformed status decodes to null', () => {
-  for (const value of [null, undefined, {}, [], [1], [8585, 4, null, 0, 0, 0, 1, 0, null], [8585, 0, null, 0, 0, 0, 1, 0, '!'], [8585, 0, null, 0, 0, 0, 1, 0, null, 0], [8585, 0, null, 0, 0, 0, 1, 0, null, 'x']]) assert.equal(engineNews.parseEngineNews(value, { host: HOST, soleModel: () => 'm' }), null)
+  for (const value of [null, undefined, {}, [], [1], [8585, 4, null, 0, 0, 0, 1, 0, null], [8585, 0, null, 0, 0, 0, 1, 0, '!'], [8585, 0, null, 0, 0, 0, 1, 0, null, 0], [8585, 0, null, 0, 0, 0, 1, 0, null, 'x']]) assert.equal(engineStatus.decodeEngineStatus(value, { host: HOST, soleModel: () => 'm' }), null)
 })
--- a/packages/daemon/src/_lib/engineNews.ts
+++ b/packages/daemon/src/_lib/engineStatus.ts
@@ -58,7 +58,7 @@
  * @param context - The agent's host and the models that it knows of.
  * @returns A value that can be serialised as JSON.
  */
-export function formatEngineNews ({ address, report, isPaused, changesInMs }: EngineStatus, context: EngineStatusContext): unknown {
+export function encodeEngineStatus ({ address, report, isPaused, changesInMs }: EngineStatus, context: EngineStatusContext): unknown {
   const { bornAt, running, waiting, isBusy, sequence, pace, limitPerSecond, models } = report
   const shortAddress = address.startsWith(`${context.host}:`) ? Number(address.slice(context.host.length + 1)) : address
   const flags = (isPaused ? PAUSED_FLAG : 0) | (isBusy ? BUSY_FLAG : 0)
@@ -80,7 +80,7 @@
  * @param context - The agent's host and the models that the receiver knows of.
  * @returns The status, or null if there is none or it cannot be decoded.
  */
-export function parseEngineNews (value: unknown, context: EngineStatusContext): EngineStatus | null {
+export function decodeEngineStatus (value: unknown, context: EngineStatusContext): EngineStatus | null {
   if (value === null || value === undefined) return null
   const parsed = statusSchema.safeParse(value)
   if (!parsed.success) return null
--- a/packages/daemon/src/_lib/entryCall.ts
+++ b/packages/daemon/src/_lib/entryCall.ts
@@ -15,7 +15,7 @@
 const fingerprintCache = new WeakMap<sendAttempt.OutgoingCall, quarantine.CallFingerprint>()
 
 /** Computes the fingerprint of a call, by which a repetition of the same call is recognised. */
-export function identify (call: sendAttempt.OutgoingCall): quarantine.CallFingerprint {
+export function fingerprintCall (call: sendAttempt.OutgoingCall): quarantine.CallFingerprint {
   const { account, method, service, row, path, body } = call
   const fingerprint = fingerprintCache.get(call) ?? quarantine.identifyCall({ account: account.id, method, host: `${service}/${row}`, path, body })
   fingerprintCache.set(call, fingerprint)
@@ -36,7 +36,7 @@
 }
 
 /** Returns the timeout that the caller requests, limited to the service's deadline, in milliseconds. */
-export function readTimeout (context: Koa.Context, service: types.ServiceRow): number {
+export function computeTimeoutMs (context: Koa.Context, service: types.ServiceRow): number {
   const requestedMs = Number(context.get(callHeaders.TIMEOUT_HEADER))
   return requestedMs > 0 ? Math.min(requestedMs, service.deadlineMs) : service.deadlineMs
 }
--- a/packages/daemon/src/_lib/fetchWhole.test.ts
+++ b/packages/daemon/src/_lib/fetchWithIdleTimeout.test.ts
@@ -4,7 +4,7 @@
 import * as nodeTest from 'node:test'
 import * as rpc from '@switchridge/rpc'
 import * as types from '@switchridge/types'
-import * as fetchWhole from './fetchWhole.js'
+import * as fetchWithIdleTimeout from './fetchWithIdleTimeout.js'
 
 const IDLE_TIMEOUT_MS = 400
 const PART_COUNT = 8
@@ -45,7 +45,7 @@
 async function fetchFrom (context: nodeTest.TestContext, base: string, idleTimeoutMs: number): Promise<types.Outcome<rpc.WholeAnswer, types.UnavailableError>> {
   const agents = rpc.createHttpAgents()
   context.after(() => { agents.destroy() })
-  return await fetchWhole.fetchWhole(agents, { base, path: '/', method: 'GET', headers: {} }, idleTimeoutMs)
+  return await fetchWithIdleTimeout.fetchWithIdleTimeout(agents, { base, path: '/', method: 'GET', headers: {} }, idleTimeoutMs)
 }
 
 async function fetchFromSlowServer (context: nodeTest.TestContext, sentParts: number): Promise<types.Outcome<rpc.WholeAnswer, types.UnavailableError>> {
--- a/packages/daemon/src/_lib/fleetTesting.ts
+++ b/packages/daemon/src/_lib/fleetTesting.ts
@@ -11,7 +11,7 @@
 import type * as fleetRole from './fleetRole.js'
 
 export const MODEL = 'model-a'
-export const KEY = 'key-of-tenant-one'
+export const API_KEY = 'key-of-tenant-one'
 const POLL_INTERVAL_MS = 10
 const HTTP_OK = 200
 
@@ -24,15 +24,15 @@
   /** Stops the gateway on a host without draining, as if it were killed. */
   readonly stopGateway: (host: string) => void
   /** Waits until each gateway knows of exactly `count` terminated backend servers. */
-  readonly untilEndsKnown: (count: number) => Promise<void>
+  readonly waitForKnownEnds: (count: number) => Promise<void>
   /** Waits until each gateway lists a blocked call. */
-  readonly untilBlocked: () => Promise<void>
+  readonly waitForBlockedCalls: () => Promise<void>
   /** Waits until each gateway knows of exactly `count` rate limits in force. */
-  readonly untilLimited: (count: number) => Promise<void>
+  readonly waitForRateLimits: (count: number) => Promise<void>
   /** Reads a counter of the gateway on a host for a label value; 0 if nothing was counted yet. */
   readonly readCounter: (host: string, name: string, label: string) => Promise<number>
   /** Waits until the readiness endpoint of the gateway on a host answers that it is ready. */
-  readonly untilReady: (host: string) => Promise<void>
+  readonly waitUntilReady: (host: string) => Promise<void>
   /** Drains the gateway on a host, as the platform does before it ends it. */
   readonly drainGateway: (host: string) => Promise<void>
   readonly startAgent: (host: string, engine: testing.EngineStandIn, seeds: readonly string[]) => Promise<fleetRole.FleetRole>
@@ -49,7 +49,7 @@
 }
 
 /** Polls until the condition holds. It has no timeout; the test runner's timeout ends a test that hangs. */
-export async function until (condition: () => boolean | Promise<boolean>): Promise<void> {
+export async function waitUntil (condition: () => boolean | Promise<boolean>): Promise<void> {
   while (!await condition()) await types.delay(POLL_INTERVAL_MS)
 }
 
@@ -60,13 +60,13 @@
  * @param pieces - Number of pieces in a version of the weights.
  * @returns The fleet.
  */
-export async function openFleet (context: nodeTest.TestContext, pieces = 8): Promise<TestFleet> {
+export async function createTestFleet (context: nodeTest.TestContext, pieces = 8): Promise<TestFleet> {
   const store = await testing.createStoreStandIn()
   const origin = await testing.createOriginStandIn(pieces)
   const roles: fleetRole.FleetRole[] = []
   const gateways = new Map<string, fleetRole.FleetRole>()
   const servers: Array<{ close: () => void }> = [store, origin]
-  let configuration = testing.createConfiguration(testing.formatAddress(origin.address), pieces, MODEL, KEY)
+  let configuration = testing.createConfiguration(testing.formatAddress(origin.address), pieces, MODEL, API_KEY)
   const ports = choosePorts()
   context.after(() => {
     for (const role of roles) role.stop()
@@ -87,7 +87,7 @@
   /** Fetches the status of every gateway. */
   async function readStatuses (): Promise<GatewayStatus[]> {
     return await Promise.all([...gateways.keys()].map(async (host) => {
-      const { body } = await testing.sendCallerRequest({ host, port: ports.control }, KEY, { path: '/status', id: 'status' })
+      const { body } = await testing.sendCallerRequest({ host, port: ports.control }, API_KEY, { path: '/status', id: 'status' })
       return JSON.parse(body) as GatewayStatus
     }))
   }
@@ -118,16 +118,16 @@
       roles.splice(roles.indexOf(role), 1)
       role.stop()
     },
-    untilEndsKnown: async (count) => { await until(async () => (await readStatuses()).every(({ endsKnown }) => endsKnown === count)) },
-    untilBlocked: async () => { await until(async () => (await readStatuses()).every(({ blockedCalls }) => blockedCalls.length > 0)) },
-    untilLimited: async (count) => { await until(async () => (await readStatuses()).every(({ rateLimits }) => rateLimits.length === count)) },
+    waitForKnownEnds: async (count) => { await waitUntil(async () => (await readStatuses()).every(({ endsKnown }) => endsKnown === count)) },
+    waitForBlockedCalls: async () => { await waitUntil(async () => (await readStatuses()).every(({ blockedCalls }) => blockedCalls.length > 0)) },
+    waitForRateLimits: async (count) => { await waitUntil(async () => (await readStatuses()).every(({ rateLimits }) => rateLimits.length === count)) },
     readCounter: async (host, name, label) => {
-      const { body } = await testing.sendCallerRequest({ host, port: ports.control }, KEY, { path: '/metrics', id: 'metrics' })
+      const { body } = await testing.sendCallerRequest({ host, port: ports.control }, API_KEY, { path: '/metrics', id: 'metrics' })
       const line = body.split('\n').find((metricLine) => metricLine.includes(`${name}_total{`) && metricLine.includes(`"${label}"`))
       return Number(line?.split(' ').at(-1) ?? 0)
     },
-    untilReady: async (host) => {
-      await until(async () => (await testing.sendCallerRequest({ host, port: ports.readiness }, KEY, { path: platform.READINESS_PATH, id: 'readiness' })).status === HTTP_OK)
+    waitUntilReady: async (host) => {
+      await waitUntil(async () => (await testing.sendCallerRequest({ host, port: ports.readiness }, API_KEY, { path: platform.READINESS_PATH, id: 'readiness' })).status === HTTP_OK)
     },
     drainGateway: async (host) => { await gateways.get(host)?.drain() },
     startAgent: async (host, engine, seeds) => {
@@ -166,13 +166,13 @@
 
 /** Sends a request with the test tenant's API key and reads the complete answer. */
 export async function call (address: types.Address, request: testing.CallerRequest): Promise<testing.CallerAnswer> {
-  return await testing.sendCallerRequest(address, KEY, request)
+  return await testing.sendCallerRequest(address, API_KEY, request)
 }
 
 /** Waits until a gateway answers requests to a path with status 200. */
-export async function untilServed (address: types.Address, path: string): Promise<void> {
+export async function waitUntilServed (address: types.Address, path: string): Promise<void> {
   let attempt = 0
-  await until(async () => {
+  await waitUntil(async () => {
     attempt += 1
     return (await call(address, { path, id: `probe-${attempt}` })).status === 200
   })
--- a/packages/daemon/src/_lib/openMetrics.ts
+++ b/packages/daemon/src/_lib/openOperatorEndpoints.ts
@@ -15,7 +15,7 @@
  * @param describeStatus - Returns the status of the role.
  * @returns A function that closes all endpoints.
  */
-export async function openMetrics (parts: createFleetParts.FleetParts, describeStatus: () => unknown): Promise<() => void> {
+export async function openOperatorEndpoints (parts: createFleetParts.FleetParts, describeStatus: () => unknown): Promise<() => void> {
   const { settings, metrics, logger } = parts
   const paths = {
     [METRICS_PATH]: async () => ({ status: HTTP_OK, type: 'text/plain; version=0.0.4', body: await metrics.format() }),
--- a/packages/daemon/src/_lib/quarantineFacts.test.ts
+++ b/packages/daemon/src/_lib/quarantineFacts.test.ts
@@ -8,7 +8,7 @@
 const CALL = types.brandId<quarantine.CallFingerprint>('3w5e11264sg0')
 const FACTS: readonly quarantineFacts.QuarantineFact[] = [
   { kind: 'end', life: types.formatLife(types.brandId('i-1'), null), calls: [CALL] },
-  { kind: 'end', life: types.formatLife(types.brandId('i-1'), 1_790_000_000_000), calls: Array.from({ length: quarantineFacts.MAXIMUM_CALLS }, () => CALL) },
+  { kind: 'end', life: types.formatLife(types.brandId('i-1'), 1_790_000_000_000), calls: Array.from({ length: quarantineFacts.MAXIMUM_CALLS_PER_FACT }, () => CALL) },
   { kind: 'served', call: CALL },
   { kind: 'block', call: CALL, count: 2 }
 ]
--- a/packages/daemon/src/_lib/quarantineFacts.ts
+++ b/packages/daemon/src/_lib/quarantineFacts.ts
@@ -15,7 +15,7 @@
 const SERVED_CODE = 's'
 const BLOCK_CODE = 'b'
 /** Maximum number of calls in one fact, so that the fact fits into a datagram; further calls go into another fact. */
-export const MAXIMUM_CALLS = 48
+export const MAXIMUM_CALLS_PER_FACT = 48
 
 /** Encodes a fact as an array, which is short in JSON. */
 export function formatFact (fact: QuarantineFact): unknown[] {
@@ -36,6 +36,6 @@
 
 function parseEnd ([life, ...calls]: readonly unknown[]): QuarantineFact | null {
   if (!types.isLife(life)) return null
-  if (calls.length === 0 || calls.length > MAXIMUM_CALLS || !calls.every(quarantine.isFingerprint)) return null
+  if (calls.length === 0 || calls.length > MAXIMUM_CALLS_PER_FACT || !calls.every(quarantine.isFingerprint)) return null
   return { kind: 'end', life, calls }
 }
--- a/packages/daemon/src/_lib/simulatedFleet.ts
+++ b/packages/daemon/src/_lib/simulatedFleet.ts
@@ -14,8 +14,8 @@
 import * as createFleetParts from '../createFleetParts/index.js'
 import * as createRateLimiter from '../createRateLimiter/index.js'
 import * as copyParts from './copyParts.js'
-import * as createAgentPermits from './createAgentPermits.js'
-import * as engineNews from './engineNews.js'
+import * as createAgentPermitServer from './createAgentPermitServer.js'
+import * as engineStatus from './engineStatus.js'
 
 /** Size of the fleet and properties of its network. */
 export interface SimulatedFleetOptions {
@@ -25,9 +25,9 @@
   /** Bandwidth between two regions that other traffic leaves free, in bytes per millisecond. */
   readonly regionBytesPerMs: number
   /** Fraction of datagrams that is lost, from 0 to 1; 0 if absent. */
-  readonly lostPart?: number
+  readonly datagramLossRate?: number
   /** Whether the time since boot is available on the machines; true if absent. */
-  readonly isStartKnown?: boolean
+  readonly isBootTimeAvailable?: boolean
 }
 
 /** A daemon of the simulated fleet. */
@@ -38,15 +38,15 @@
   /** The rate limiter of a gateway; null at an agent. */
   readonly limiter: () => createRateLimiter.GatewayRateLimiter | null
   /** Time at which the daemon received or published each fact. */
-  readonly heard: ReadonlyMap<unknown, number>
-  readonly tell: (fact: string) => void
+  readonly factTimes: ReadonlyMap<unknown, number>
+  readonly publishFact: (fact: string) => void
   readonly start: () => Promise<void>
   readonly stop: () => void
   /** Suspends the machine: until it is resumed, it sends and receives nothing and its steady clock stands still. */
   readonly suspend: () => void
   readonly resume: () => void
   /** Moves the time of day of the machine forwards or backwards by milliseconds. */
-  readonly setTimeOfDay: (milliseconds: number) => void
+  readonly adjustTimeOfDay: (milliseconds: number) => void
 }
 
 /** A simulated fleet. */
@@ -60,9 +60,9 @@
   /** Writes a configuration with `routes` routes in addition to the basic ones; returns its version. */
   readonly configure: (routes: number) => number
   /** Advances the time for all daemons in steps of a millisecond. */
-  readonly pass: (milliseconds: number) => Promise<void>
+  readonly advance: (milliseconds: number) => Promise<void>
   /** Advances the time until the condition holds; returns the elapsed milliseconds, or Infinity if it did not hold within the maximum. */
-  readonly passUntil: (condition: () => boolean, maximumMs: number) => Promise<number>
+  readonly advanceUntil: (condition: () => boolean, maximumMs: number) => Promise<number>
 }
 
 interface MachineClock extends clock.MachineClocks {
@@ -72,14 +72,14 @@
 }
 
 /** Clocks of a machine that can be suspended. The steady clock excludes the suspended time; the time of day and the time since boot include it. The time since boot is always 0 if it is not available. */
-function createMachineClock (now: () => number, isStartKnown: boolean): MachineClock {
+function createMachineClock (now: () => number, isBootTimeAvailable: boolean): MachineClock {
   let suspendedAt: number | null = null
   let suspendedMs = 0
   let adjustedMs = 0
   const trueTime = (): number => suspendedAt ?? now()
   return {
     timeOfDay: () => trueTime() + adjustedMs,
-    uptime: () => isStartKnown ? trueTime() : 0,
+    uptime: () => isBootTimeAvailable ? trueTime() : 0,
     monotonic: () => trueTime() - suspendedMs,
     set: (milliseconds) => { adjustedMs += milliseconds },
     suspend: () => { suspendedAt = now() },
@@ -114,7 +114,7 @@
     const key = JSON.stringify([changes.kind, changes.since, changes.gone, contents, part])
     const knownSize = sizes.get(key)
     if (knownSize !== undefined) return knownSize
-    const size = zlib.gzipSync(JSON.stringify({ ...changes, part, objects: copyParts.takePart(changes.objects, part) })).length
+    const size = zlib.gzipSync(JSON.stringify({ ...changes, part, objects: copyParts.extractPart(changes.objects, part) })).length
     sizes.set(key, size)
     return size
   }
@@ -230,7 +230,7 @@
     let exchange: createFleetExchange.FleetExchange | null = null
     let limiter: createRateLimiter.GatewayRateLimiter | null = null
     const factTimes = new Map<unknown, number>()
-    const machine = createMachineClock(now, options.isStartKnown ?? true)
+    const machine = createMachineClock(now, options.isBootTimeAvailable ?? true)
     const nodeSettings = parseSettings(host, hall, role, plan)
 
     async function fetchChanges (peer: string, request: spread.CopyRequest, signal: AbortSignal): ReturnType<spread.CopySyncOptions['fetchChanges']> {
@@ -239,11 +239,11 @@
       const other = daemons.find((each) => each.host === peer)
       const mirror = other?.parts()?.mirrors.find((each) => each.kind === request.kind)
       if (other === undefined || mirror === undefined) return types.fail(new types.UnavailableError('the peer has no copy of this kind'))
-      const part = copyParts.partOf(request.kind, role)
+      const part = copyParts.partForRole(request.kind, role)
       const changes = mirror.changesSince(request.since)
       const bytes = sizeOf(changes, part)
       const isDelivered = await network.carry(peer, host, bytes, limits)
-      const partialChanges = { ...changes, objects: copyParts.takePart(changes.objects, part) }
+      const partialChanges = { ...changes, objects: copyParts.extractPart(changes.objects, part) }
       return isDelivered ? types.succeed({ changes: partialChanges, bytes }) : types.fail(new types.UnavailableError('no byte of the answer arrived in time'))
     }
 
@@ -252,8 +252,8 @@
       role,
       parts: () => parts as createFleetParts.FleetParts,
       limiter: () => limiter,
-      heard: factTimes,
-      tell: (content) => {
+      factTimes,
+      publishFact: (content) => {
         factTimes.set(content, now())
         exchange?.facts.publish(content, FACT_LIFETIME_MS)
       },
@@ -267,12 +267,12 @@
         exchange = await createFleetExchange.createFleetExchange({
           parts: started,
           store: role === 'gateway' ? createStoreClient(host) : null,
-          openDatagrams: async (onDatagram) => network.openDatagrams(host, (bytes, from) => { if (random() >= (options.lostPart ?? 0)) onDatagram(bytes, from) }),
+          openDatagrams: async (onDatagram) => network.openDatagrams(host, (bytes, from) => { if (random() >= (options.datagramLossRate ?? 0)) onDatagram(bytes, from) }),
           fetchChanges,
           describeSelf,
           onHeartbeat: (heartbeat) => { createFleetParts.recordPeerVersions(started, heartbeat) },
           onFact: (content, madeAt) => { if (limiter?.noteFact(content, madeAt) !== true) factTimes.set(content, now()) },
-          onDatagram: limiter?.receive ?? createAgentPermits.createAgentPermits(started, () => exchange).receive,
+          onDatagram: limiter?.receive ?? createAgentPermitServer.createAgentPermitServer(started, () => exchange).receive,
           random
         })
       },
@@ -285,7 +285,7 @@
         network.join(host)
         machine.resume()
       },
-      setTimeOfDay: machine.set
+      adjustTimeOfDay: machine.set
     }
   }
 
@@ -304,7 +304,7 @@
     gateways: daemons.filter((each) => each.role === 'gateway'),
     put,
     remove,
-    pass: advance,
+    advance,
     configure: (routes) => {
       version += 1
       const configuration = testing.createConfiguration('10.0.0.9:80', 96, 'model-a', 'key-of-tenant-one')
@@ -313,7 +313,7 @@
       put(platform.KINDS.configuration, platform.CONFIGURATION_NAME, { ...configuration, version })
       return version
     },
-    passUntil: async (condition, maximumMs) => {
+    advanceUntil: async (condition, maximumMs) => {
       for (let elapsed = 0; elapsed <= maximumMs; elapsed += 1) {
         if (condition()) return elapsed
         await advance(1)
@@ -339,7 +339,7 @@
 }
 
 /** Engine status that an agent under load sends. */
-const ENGINE_STATUS = engineNews.formatEngineNews({
+const ENGINE_STATUS = engineStatus.encodeEngineStatus({
   address: '10.0.1.1:8585',
   isPaused: false,
   changesInMs: null,
--- a/packages/daemon/src/createBackendCalls/index.ts
+++ b/packages/daemon/src/createBackendCalls/index.ts
@@ -132,7 +132,7 @@
   }
 
   async function startRequest (context: Koa.Context, call: Call, body: Buffer, served: types.ServedVersion | undefined, signal: AbortSignal): Promise<types.Outcome<http.IncomingMessage, rpc.RequestError>> {
-    const headers = callHeaders.copyHeaders(context.headers)
+    const headers = callHeaders.selectForwardedHeaders(context.headers)
     if (served !== undefined) headers[callHeaders.ENGINE_VERSION_HEADER] = served.manifest
     return await rpc.openRequest(options.agents, {
       base: options.url,
@@ -177,7 +177,7 @@
 
   async function forwardResponse (context: Koa.Context, response: http.IncomingMessage, served: types.ServedVersion | undefined): Promise<void> {
     context.status = response.statusCode ?? 502
-    for (const [name, value] of Object.entries(callHeaders.copyHeaders(response.headers))) context.set(name, value)
+    for (const [name, value] of Object.entries(callHeaders.selectForwardedHeaders(response.headers))) context.set(name, value)
     if (response.headers['content-length'] !== undefined) context.set('content-length', response.headers['content-length'])
     context.set(callHeaders.OUTCOME_HEADER, 'answered')
     context.set(callHeaders.LOAD_HEADER, callHeaders.formatLoad(admission.load()))
--- a/packages/daemon/src/createCopyAnswers/index.ts
+++ b/packages/daemon/src/createCopyAnswers/index.ts
@@ -47,12 +47,12 @@
   async function answer (kind: string, part: string, since: number): Promise<Buffer | null> {
     const mirror = options.mirrors.find((each) => each.kind === kind)
     const isCopyPart = part === 'whole' || part === 'services'
-    if (mirror === undefined || !isCopyPart || !mirror.isKnown() || !copyParts.holds(copyParts.partOf(kind, options.role), part)) return null
+    if (mirror === undefined || !isCopyPart || !mirror.isKnown() || !copyParts.includesPart(copyParts.partForRole(kind, options.role), part)) return null
     const changes = mirror.changesSince(since)
     const key = JSON.stringify([kind, part, changes.since, changes.digest])
     const existing = cache.get(key)
     if (existing !== undefined && existing.at > since) return await existing.bytes
-    const bytes = compress(JSON.stringify({ ...changes, part, objects: copyParts.takePart(changes.objects, part) }))
+    const bytes = compress(JSON.stringify({ ...changes, part, objects: copyParts.extractPart(changes.objects, part) }))
     cacheAnswer(key, { at: changes.at, bytes })
     return await bytes
   }
--- a/packages/daemon/src/createCopyAnswers/test.ts
+++ b/packages/daemon/src/createCopyAnswers/test.ts
@@ -60,8 +60,8 @@
   const read = await readCopyAnswer.readCopyAnswer(bytes, { kind: KIND, since: 0 }, 'whole')
   assert.ok(!read.ok)
   assert.match(read.error.message, /part services, not whole/)
-  assert.equal(copyParts.holds(copyParts.partOf(KIND, 'agent'), copyParts.partOf(KIND, 'gateway')), false)
-  assert.equal(copyParts.holds(copyParts.partOf(platform.KINDS.versions, 'agent'), copyParts.partOf(platform.KINDS.versions, 'gateway')), true)
+  assert.equal(copyParts.includesPart(copyParts.partForRole(KIND, 'agent'), copyParts.partForRole(KIND, 'gateway')), false)
+  assert.equal(copyParts.includesPart(copyParts.partForRole(platform.KINDS.versions, 'agent'), copyParts.partForRole(platform.KINDS.versions, 'gateway')), true)
 })
 
 nodeTest.test('a daemon without a copy, or a request for an unknown kind or part, yields no answer', async () => {
--- a/packages/daemon/src/createEntryCalls/index.ts
+++ b/packages/daemon/src/createEntryCalls/index.ts
@@ -77,7 +77,7 @@
   let inProgress = 0
   const pendingAttempts = new Set<PendingAttempt>()
   options.guard.onBlocked((blocked) => {
-    for (const { call, end } of pendingAttempts) if (entryCall.identify(call) === blocked) end()
+    for (const { call, end } of pendingAttempts) if (entryCall.fingerprintCall(call) === blocked) end()
   })
 
   function count (name: string): void {
@@ -149,13 +149,13 @@
     if (account === undefined) return reject(context, 401, 'the API key is missing or unknown')
     const waitMs = options.limiter.take(account.id, account.callsPerSecond)
     if (waitMs > 0) return rejectOverLimit(context, waitMs)
-    const deadlineAt = options.now() + entryCall.readTimeout(context, service)
+    const deadlineAt = options.now() + entryCall.computeTimeoutMs(context, service)
     const body = await rpc.readBody(context.req, types.MAXIMUM_CALL_BODY_BYTES)
     if (!body.ok) return reject(context, 413, body.error.message)
-    const headers = { ...callHeaders.copyHeaders(context.headers), [callHeaders.REQUEST_ID_HEADER]: requestId }
+    const headers = { ...callHeaders.selectForwardedHeaders(context.headers), [callHeaders.REQUEST_ID_HEADER]: requestId }
     const path = (match[3] ?? '/') + context.search
     const call = { service: service.id, row, account, method: context.method, path, headers, body: body.value, isRepeatable: entryCall.isRepeatable(service, context.method), deadlineAt }
-    const key = call.isRepeatable ? '' : context.get(callHeaders.KEY_HEADER)
+    const key = call.isRepeatable ? '' : context.get(callHeaders.IDEMPOTENCY_KEY_HEADER)
     return { call, service, affinity: context.get('x-prompt-prefix'), key }
   }
 
@@ -181,7 +181,7 @@
     let mayHaveRun = false
     budget.earn()
     for (let attempts = 1; ; attempts += 1) {
-      const blockedMs = options.guard.isActive() ? options.guard.findBlock(entryCall.identify(call)) : null
+      const blockedMs = options.guard.isActive() ? options.guard.findBlock(entryCall.fingerprintCall(call)) : null
       if (blockedMs !== null) return finalizeOutcome({ kind: 'not-run', reason: BLOCKED_REASON, load: undefined, retryAfterMs: blockedMs }, mayHaveRun)
       const backend = await awaitBackend(prepared, tried, signal)
       if (!backend.ok) return finalizeOutcome({ kind: 'not-run', reason: backend.error.reason, load: undefined }, mayHaveRun)
@@ -190,11 +190,11 @@
       const result = await sendUnlessBlocked(call, backend.value, signal)
       if (result.kind === 'answered') {
         const isComplete = await forwardResponse(context, result, backend.value, claim)
-        if (isComplete && options.guard.isActive()) options.guard.noteServed(entryCall.identify(call))
-        if (!isComplete && !context.req.aborted) await options.guard.noteLost(backend.value, entryCall.identify(call))
+        if (isComplete && options.guard.isActive()) options.guard.noteServed(entryCall.fingerprintCall(call))
+        if (!isComplete && !context.req.aborted) await options.guard.noteLost(backend.value, entryCall.fingerprintCall(call))
         return 'answered'
       }
-      if (result.kind === 'unknown' && !signal.aborted) await options.guard.noteLost(backend.value, entryCall.identify(call))
+      if (result.kind === 'unknown' && !signal.aborted) await options.guard.noteLost(backend.value, entryCall.fingerprintCall(call))
       noteFailure(backend.value, result)
       mayHaveRun ||= result.kind === 'unknown'
       const mayRepeat = result.kind === 'not-run' || call.isRepeatable
@@ -236,7 +236,7 @@
   async function forwardResponse (context: Koa.Context, result: Extract<sendAttempt.AttemptResult, { kind: 'answered' }>, backend: types.MemberFacts, claim: createClaims.Claim | null): Promise<boolean> {
     const { response, load } = result
     context.status = response.statusCode ?? 502
-    for (const [name, value] of Object.entries(callHeaders.copyHeaders(response.headers))) context.set(name, value)
+    for (const [name, value] of Object.entries(callHeaders.selectForwardedHeaders(response.headers))) context.set(name, value)
     if (response.headers['content-length'] !== undefined) context.set('content-length', response.headers['content-length'])
     context.set(callHeaders.OUTCOME_HEADER, 'answered')
     const version = response.headers[callHeaders.VERSION_HEADER]
--- a/packages/daemon/src/createFleetExchange/facts.test.ts
+++ b/packages/daemon/src/createFleetExchange/facts.test.ts
@@ -16,18 +16,18 @@
   context.after(() => { for (const daemon of fleet.daemons) daemon.stop() })
   fleet.configure(10)
   for (const daemon of fleet.daemons) await daemon.start()
-  await fleet.pass(8000)
+  await fleet.advance(8000)
   return fleet
 }
 
 function countUninformed (gateways: readonly simulatedFleet.SimulatedDaemon[], fact: string): number {
-  return gateways.filter((gateway) => !gateway.heard.has(fact)).length
+  return gateways.filter((gateway) => !gateway.factTimes.has(fact)).length
 }
 
 nodeTest.test('a fact of one gateway reaches all others of a fleet of 183 daemons within a tenth of a second', async (context) => {
   const fleet = await openFleet(context)
-  fleet.gateways[3]?.tell('fact')
-  const tookMs = await fleet.passUntil(() => countUninformed(fleet.gateways, 'fact') === 0, CONTACT_MS)
+  fleet.gateways[3]?.publishFact('fact')
+  const tookMs = await fleet.advanceUntil(() => countUninformed(fleet.gateways, 'fact') === 0, CONTACT_MS)
   context.diagnostic(`${tookMs} ms`)
   assert.ok(tookMs <= 100, `known after ${tookMs} ms`)
 })
@@ -37,27 +37,27 @@
   const inside = fleet.gateways.filter(({ host }) => host.startsWith('10.2.'))
   const outside = fleet.gateways.filter(({ host }) => !host.startsWith('10.2.'))
   fleet.network.cutRegion('region-2')
-  await fleet.pass(1000)
-  inside[4]?.tell('inside')
-  outside[4]?.tell('outside')
-  await fleet.pass(1000)
+  await fleet.advance(1000)
+  inside[4]?.publishFact('inside')
+  outside[4]?.publishFact('outside')
+  await fleet.advance(1000)
   assert.equal(countUninformed(inside, 'inside') + countUninformed(outside, 'outside'), 0)
-  await fleet.pass(6000)
+  await fleet.advance(6000)
   fleet.network.joinRegion('region-2')
-  const tookMs = await fleet.passUntil(() => countUninformed(fleet.gateways, 'inside') + countUninformed(fleet.gateways, 'outside') === 0, 3 * CONTACT_MS)
+  const tookMs = await fleet.advanceUntil(() => countUninformed(fleet.gateways, 'inside') + countUninformed(fleet.gateways, 'outside') === 0, 3 * CONTACT_MS)
   context.diagnostic(`${tookMs} ms after the cut`)
   assert.ok(tookMs <= CONTACT_MS, `known after ${tookMs} ms`)
 })
 
 nodeTest.test('a gateway that restarts gets the facts of the others in time', async (context) => {
   const fleet = await openFleet(context)
-  fleet.gateways[3]?.tell('fact')
-  await fleet.pass(1000)
+  fleet.gateways[3]?.publishFact('fact')
+  await fleet.advance(1000)
   const restarted = fleet.gateways[30] as simulatedFleet.SimulatedDaemon
   restarted.stop()
-  await fleet.pass(500)
+  await fleet.advance(500)
   await restarted.start()
-  const tookMs = await fleet.passUntil(() => restarted.heard.has('fact'), CONTACT_MS)
+  const tookMs = await fleet.advanceUntil(() => restarted.factTimes.has('fact'), CONTACT_MS)
   context.diagnostic(`${tookMs} ms`)
   assert.ok(tookMs <= CONTACT_MS, `known after ${tookMs} ms`)
 })
--- a/packages/daemon/src/createFleetExchange/index.ts
+++ b/packages/daemon/src/createFleetExchange/index.ts
@@ -68,7 +68,7 @@
   const sync = spread.createCopySync({
     mirrors: parts.mirrors,
     zone,
-    canServe: (peer, kind) => copyParts.holds(copyParts.partOf(kind, peer.role), copyParts.partOf(kind, role)),
+    canServe: (peer, kind) => copyParts.includesPart(copyParts.partForRole(kind, peer.role), copyParts.partForRole(kind, role)),
     isWatching: (kind) => keptMirrors.get(kind)?.isWatching() ?? false,
     otherHallGraceMs: watchDuty.otherHallGraceMs,
     fetchChanges: options.fetchChanges,
--- a/packages/daemon/src/createFleetExchange/size.test.ts
+++ b/packages/daemon/src/createFleetExchange/size.test.ts
@@ -51,7 +51,7 @@
 async function startDaemons (fleet: simulatedFleet.SimulatedFleet): Promise<void> {
   for (const [index, daemon] of fleet.daemons.entries()) {
     await daemon.start()
-    if (index % 2 === 1) await fleet.pass(3)
+    if (index % 2 === 1) await fleet.advance(3)
   }
 }
 
@@ -78,13 +78,13 @@
   const fleet = openFleet(context)
   fleet.configure(SMALL_ROUTES)
   await startDaemons(fleet)
-  await fleet.pass(3000)
+  await fleet.advance(3000)
   const stopChurn = churnEngines(fleet, 200)
-  await fleet.pass(2000)
+  await fleet.advance(2000)
   const before = fleet.network.counts.regionBytes
   const startedAt = Date.now()
   const version = fleet.configure(MORE_ROUTES)
-  const tookMs = await fleet.passUntil(() => listBehind(fleet, version).length === 0, MAXIMUM_MS)
+  const tookMs = await fleet.advanceUntil(() => listBehind(fleet, version).length === 0, MAXIMUM_MS)
   stopChurn()
   const crossed = fleet.network.counts.regionBytes - before
   context.diagnostic(`${tookMs} ms; ${Math.round(crossed / 1000)} kB between regions in ${Date.now() - startedAt} ms; behind: ${listBehind(fleet, version).length}`)
@@ -96,15 +96,15 @@
   const fleet = openFleet(context)
   const version = fleet.configure(MORE_ROUTES)
   await startDaemons(fleet)
-  await fleet.pass(4000)
+  await fleet.advance(4000)
   for (const daemon of fleet.daemons) daemon.stop()
-  await fleet.pass(1000)
+  await fleet.advance(1000)
   const stopChurn = churnEngines(fleet, 50)
   const before = fleet.daemons.map((daemon) => fleet.network.received(daemon.host))
   const regionBefore = fleet.network.counts.regionBytes
   await startDaemons(fleet)
-  const tookMs = await fleet.passUntil(() => listBehind(fleet, version).length + listUnconfigured(fleet).length === 0, MAXIMUM_MS)
-  await fleet.pass(6000)
+  const tookMs = await fleet.advanceUntil(() => listBehind(fleet, version).length + listUnconfigured(fleet).length === 0, MAXIMUM_MS)
+  await fleet.advance(6000)
   stopChurn()
   const received = fleet.daemons.map((daemon, index) => fleet.network.received(daemon.host) - (before[index] as number))
   const agents = received.filter((_, index) => fleet.daemons[index]?.role === 'agent')
@@ -136,16 +136,16 @@
   const fleet = openFleet(context, shape)
   fleet.configure(SMALL_ROUTES)
   await startDaemons(fleet)
-  await fleet.pass(5000)
+  await fleet.advance(5000)
   const before = fleet.daemons.map(({ host }) => fleet.network.received(host))
   const regionsBefore = fleet.network.counts.regionBytes
-  await fleet.pass(IDLE_MS)
+  await fleet.advance(IDLE_MS)
   const idleIn = Math.max(...fleet.daemons.map(({ host }, index) => fleet.network.received(host) - (before[index] as number))) * 1000 / IDLE_MS
   const idleRegions = (fleet.network.counts.regionBytes - regionsBefore) * 1000 / IDLE_MS
   const changeFrom = fleet.network.counts.regionBytes
   const version = fleet.configure(routes)
-  const inForceMs = await fleet.passUntil(() => listBehind(fleet, version).length === 0, MAXIMUM_MS)
-  await fleet.pass(1000)
+  const inForceMs = await fleet.advanceUntil(() => listBehind(fleet, version).length === 0, MAXIMUM_MS)
+  await fleet.advance(1000)
   const crossed = fleet.network.counts.regionBytes - changeFrom - idleRegions * (Math.min(inForceMs, MAXIMUM_MS) + 1000) / 1000
   for (const daemon of fleet.daemons) daemon.stop()
   context.mock.timers.reset()
@@ -207,12 +207,12 @@
   const fleet = openFleet(context)
   fleet.configure(SMALL_ROUTES)
   await startDaemons(fleet)
-  await fleet.pass(5000)
+  await fleet.advance(5000)
   const cutHosts = rankHall(fleet, zone).slice(0, failing)
   for (const host of cutHosts) fleet.network.cut(host)
   const version = fleet.configure(SMALL_ROUTES + 1)
   const isInForce = (): boolean => listBehind(fleet, version).every((host) => cutHosts.includes(host))
-  const tookMs = await fleet.passUntil(isInForce, MAXIMUM_MS)
+  const tookMs = await fleet.advanceUntil(isInForce, MAXIMUM_MS)
   context.diagnostic(`${zone} without its first ${cutHosts.length} gateways: ${tookMs} ms`)
   return tookMs
 }
--- a/packages/daemon/src/createFleetExchange/suspended.test.ts
+++ b/packages/daemon/src/createFleetExchange/suspended.test.ts
@@ -17,11 +17,11 @@
 
 async function openFleet (context: nodeTest.TestContext, isStartKnown = true): Promise<simulatedFleet.SimulatedFleet> {
   context.mock.timers.enable({ apis: ['setTimeout', 'setInterval', 'Date'], now: 1_000_000 })
-  const fleet = simulatedFleet.createSimulatedFleet({ ...SHAPE, isStartKnown }, context.mock.timers, standins.createRandom(SEED))
+  const fleet = simulatedFleet.createSimulatedFleet({ ...SHAPE, isBootTimeAvailable: isStartKnown }, context.mock.timers, standins.createRandom(SEED))
   context.after(() => { for (const daemon of fleet.daemons) daemon.stop() })
   fleet.configure(3)
   for (const daemon of fleet.daemons) await daemon.start()
-  await fleet.pass(5000)
+  await fleet.advance(5000)
   return fleet
 }
 
@@ -35,13 +35,13 @@
   const fleet = await openFleet(context)
   const [suspended, other] = fleet.gateways as [simulatedFleet.SimulatedDaemon, simulatedFleet.SimulatedDaemon]
   fleet.put('versions', MODEL, { model: MODEL, version: 2 })
-  await fleet.pass(AFTER_ANNOUNCEMENT_MS)
+  await fleet.advance(AFTER_ANNOUNCEMENT_MS)
   assert.ok(Math.abs(computeRemainingSendMs(suspended) - computeRemainingSendMs(other)) < NOTICE_MS)
   suspended.suspend()
-  await fleet.pass(SUSPENDED_MS)
+  await fleet.advance(SUSPENDED_MS)
   suspended.resume()
   fleet.network.cut(suspended.host)
-  await fleet.pass(NOTICE_MS)
+  await fleet.advance(NOTICE_MS)
   assert.ok(Math.abs(computeRemainingSendMs(suspended) - computeRemainingSendMs(other)) < NOTICE_MS, `${computeRemainingSendMs(suspended)} ms left, elsewhere ${computeRemainingSendMs(other)}`)
 })
 
@@ -50,14 +50,14 @@
     const fleet = await openFleet(context, isStartKnown)
     const [suspended, other] = fleet.gateways as [simulatedFleet.SimulatedDaemon, simulatedFleet.SimulatedDaemon]
     suspended.suspend()
-    await fleet.pass(SUSPENDED_MS)
+    await fleet.advance(SUSPENDED_MS)
     suspended.resume()
     fleet.put('versions', MODEL, { model: MODEL, version: 2 })
-    await fleet.pass(AFTER_ANNOUNCEMENT_MS)
+    await fleet.advance(AFTER_ANNOUNCEMENT_MS)
     const expectedMs = computeRemainingSendMs(other)
     context.diagnostic(`${Math.round(computeRemainingSendMs(suspended))} ms left, elsewhere ${Math.round(expectedMs)}`)
     assert.ok(Math.abs(computeRemainingSendMs(suspended) - expectedMs) < NOTICE_MS)
-    await fleet.pass(2000)
+    await fleet.advance(2000)
     for (const gateway of fleet.gateways) assert.ok(Math.abs(computeRemainingSendMs(gateway) - (expectedMs - 2000)) < NOTICE_MS, `${gateway.host}: ${computeRemainingSendMs(gateway)} ms left`)
   })
 }
@@ -65,12 +65,12 @@
 nodeTest.test('a change of the wall clock does not affect deadlines, and what others send is not lost', async (context) => {
   const fleet = await openFleet(context, false)
   const [adjusted, other] = fleet.gateways as [simulatedFleet.SimulatedDaemon, simulatedFleet.SimulatedDaemon]
-  adjusted.setTimeOfDay(SUSPENDED_MS)
-  await fleet.pass(200)
+  adjusted.adjustTimeOfDay(SUSPENDED_MS)
+  await fleet.advance(200)
   fleet.put('versions', MODEL, { model: MODEL, version: 2 })
-  await fleet.pass(AFTER_ANNOUNCEMENT_MS)
+  await fleet.advance(AFTER_ANNOUNCEMENT_MS)
   assert.ok(Math.abs(computeRemainingSendMs(adjusted) - computeRemainingSendMs(other)) < NOTICE_MS, `${computeRemainingSendMs(adjusted)} ms left, elsewhere ${computeRemainingSendMs(other)}`)
-  adjusted.setTimeOfDay(-SUSPENDED_MS)
-  await fleet.pass(AFTER_ANNOUNCEMENT_MS)
+  adjusted.adjustTimeOfDay(-SUSPENDED_MS)
+  await fleet.advance(AFTER_ANNOUNCEMENT_MS)
   assert.ok(Math.abs(computeRemainingSendMs(adjusted) - computeRemainingSendMs(other)) < NOTICE_MS)
 })
--- a/packages/daemon/src/createFleetParts/index.ts
+++ b/packages/daemon/src/createFleetParts/index.ts
@@ -107,7 +107,7 @@
     routes = gateway.createRouteTable(parsed.value)
     logger.info('configuration', { revision: object.revision, version: parsed.value.version, routes: parsed.value.routes.length })
     for (const service of parsed.value.services) logFigures(service)
-    backEnds.adopt(backEndObjects.objects())
+    backEnds.update(backEndObjects.objects())
     for (const listener of routeListeners) listener(routes)
   }
 
@@ -159,7 +159,7 @@
     versions.noteSuspension(suspension)
   })
   configurations.onChange(adoptConfiguration)
-  backEndObjects.onChange(() => { backEnds.adopt(backEndObjects.objects()) })
+  backEndObjects.onChange(() => { backEnds.update(backEndObjects.objects()) })
   namedVersions.onChange(adoptVersions)
   return {
     settings: checked,
@@ -217,7 +217,7 @@
 /** Creates the function that requests changes of a kind from a peer. */
 export function createChangesFetcher (parts: FleetParts): spread.CopySyncOptions['fetchChanges'] {
   return async (host, request, signal) => {
-    const part = copyParts.partOf(request.kind, parts.settings.role)
+    const part = copyParts.partForRole(request.kind, parts.settings.role)
     const sent = await rpc.sendRequest(parts.agents, {
       base: rpc.formatBaseUrl(parts.agents, getInternalAddress(parts, host)),
       path: copyParts.formatCopyPath(request.kind, part, request.since),
--- a/packages/daemon/src/createPlacementLoop/index.ts
+++ b/packages/daemon/src/createPlacementLoop/index.ts
@@ -9,7 +9,7 @@
 import type * as createServedVersions from '../createServedVersions/index.js'
 import type * as createTableKeeper from '../createTableKeeper/index.js'
 import type * as createWeightsListener from '../createWeightsListener/index.js'
-import * as planTransfer from '../_lib/planTransfer.js'
+import * as createTransferPlanner from '../_lib/createTransferPlanner.js'
 
 /** Options of {@link createPlacementLoop}. */
 export interface PlacementLoopOptions {
@@ -21,7 +21,7 @@
   readonly serving: createServedVersions.ServedVersions
   readonly orders: createEngineOrders.EngineOrders
   readonly weights: createWeightsListener.WeightsListener
-  readonly plan: planTransfer.PlanTransfer
+  readonly plan: createTransferPlanner.TransferPlanner
   readonly logger: observability.Logger
   readonly onServing: () => void
 }
@@ -108,7 +108,7 @@
 
   async function loadVersion (row: types.ModelRow, holding: transfer.Holding, current: types.ServedVersion | undefined): Promise<string> {
     if (sumLoadedBytes() + row.bytes > options.self.read().memoryBytes && current !== undefined) {
-      if (!placement.mayLeaveVersion(row, options.self.read().node, options.view.members())) return 'its turn to change version'
+      if (!placement.mayStopServing(row, options.self.read().node, options.view.members())) return 'its turn to change version'
       serving.remove(row.id)
       publish(`${row.id}: loading`)
       await retire(current.manifest)
--- a/packages/daemon/src/createRateLimiter/size.test.ts
+++ b/packages/daemon/src/createRateLimiter/size.test.ts
@@ -38,16 +38,16 @@
   nodeTest.test(`${count} daemons enforce the rate limit of a back end`, async (context) => {
     context.mock.timers.enable({ apis: ['setTimeout', 'setInterval', 'Date'], now: 1_000_000 })
     const random = standins.createRandom(SEED)
-    const fleet = simulatedFleet.createSimulatedFleet({ ...shape, regionBytesPerMs: 2500, lostPart: 0.05 }, context.mock.timers, random)
+    const fleet = simulatedFleet.createSimulatedFleet({ ...shape, regionBytesPerMs: 2500, datagramLossRate: 0.05 }, context.mock.timers, random)
     context.after(() => { for (const daemon of fleet.daemons) daemon.stop() })
     fleet.configure(10)
     fleet.put(platform.KINDS.backEnds, 'i-limited', ENTRY)
     for (const daemon of fleet.daemons) await daemon.start()
-    await fleet.pass(STARTUP_MS)
+    await fleet.advance(STARTUP_MS)
     const limiters = fleet.gateways.map((each) => each.limiter())
     const [backEnd] = fleet.gateways[0]?.parts().backEnds() as [gateway.BackEnd]
     limiters[0]?.noteResponse(backEnd, { kind: 'named', perSecond: LIMIT_PER_SECOND }, 0)
-    const knownMs = await fleet.passUntil(() => limiters.every((limiter) => limiter?.inForce().length === 1), CONVERGENCE_MS)
+    const knownMs = await fleet.advanceUntil(() => limiters.every((limiter) => limiter?.inForce().length === 1), CONVERGENCE_MS)
     assert.ok(knownMs <= CONVERGENCE_MS, `known everywhere after ${knownMs} ms`)
 
     const sent: number[] = []
@@ -62,7 +62,7 @@
       if (passed === COUNTER_STOP_MS) agent.stop()
       if (passed === COUNTER_RESTART_MS) await agent.start()
       if (random() < CALLS_PER_SECOND / 1000) void call()
-      await fleet.pass(1)
+      await fleet.advance(1)
     }
     const hasCounter = (at: number): boolean => at < COUNTER_STOP_MS || at >= COUNTER_RESTART_MS + REDISCOVERY_MS
     const used = sent.filter(hasCounter).length * 1000 / (LIMIT_PER_SECOND * (SIMULATED_MS - COUNTER_RESTART_MS - REDISCOVERY_MS + COUNTER_STOP_MS))
--- a/packages/daemon/src/createSharedQuarantine/index.ts
+++ b/packages/daemon/src/createSharedQuarantine/index.ts
@@ -163,7 +163,7 @@
     lostCalls.delete(life)
     count('back_ends_ended', { service })
     logger.warn('back-end-ended', { backEnd: name, service, calls: calls.length, fingerprints: calls.slice(0, MAXIMUM_LOGGED_FINGERPRINTS).join() })
-    for (let at = 0; at < calls.length; at += quarantineFacts.MAXIMUM_CALLS) publish({ kind: 'end', life, calls: calls.slice(at, at + quarantineFacts.MAXIMUM_CALLS) }, limits.evidenceMs)
+    for (let at = 0; at < calls.length; at += quarantineFacts.MAXIMUM_CALLS_PER_FACT) publish({ kind: 'end', life, calls: calls.slice(at, at + quarantineFacts.MAXIMUM_CALLS_PER_FACT) }, limits.evidenceMs)
   }
 
   function noteFact (content: unknown, madeAt: number): void {
--- a/packages/daemon/src/startAgentRole/index.ts
+++ b/packages/daemon/src/startAgentRole/index.ts
@@ -10,10 +10,10 @@
 import * as types from '@switchridge/types'
 import * as createFleetExchange from '../createFleetExchange/index.js'
 import * as createFleetParts from '../createFleetParts/index.js'
-import * as createAgentPermits from '../_lib/createAgentPermits.js'
-import * as fetchWhole from '../_lib/fetchWhole.js'
-import * as engineNews from '../_lib/engineNews.js'
-import * as openMetrics from '../_lib/openMetrics.js'
+import * as createAgentPermitServer from '../_lib/createAgentPermitServer.js'
+import * as fetchWithIdleTimeout from '../_lib/fetchWithIdleTimeout.js'
+import * as engineStatus from '../_lib/engineStatus.js'
+import * as openOperatorEndpoints from '../_lib/openOperatorEndpoints.js'
 import type * as fleetRole from '../_lib/fleetRole.js'
 
 /** How long a peer that failed or was slow is excluded from fetches. */
@@ -69,7 +69,7 @@
 
   const listener = await createFleetParts.listenInternal(parts, [serveWeights])
   let startedExchange: createFleetExchange.FleetExchange | null = null
-  const permits = createAgentPermits.createAgentPermits(parts, () => startedExchange)
+  const permits = createAgentPermitServer.createAgentPermitServer(parts, () => startedExchange)
   const slots = gateway.createSlotReservations(now)
   const reservations = gateway.createReservationServer({
     reserve: reserveSlot,
@@ -81,7 +81,7 @@
     store: null,
     openDatagrams: spread.openDatagrams(checked.host, checked.internal_port),
     fetchChanges: createFleetParts.createChangesFetcher(parts),
-    describeSelf: () => createFleetParts.describeSelf(parts, { isLeaving, isStoreLost: false }, report === null ? null : engineNews.formatEngineNews({ address: engineAddress, report, isPaused, changesInMs }, { host: checked.host, soleModel: findSoleModel }), listSuspects()),
+    describeSelf: () => createFleetParts.describeSelf(parts, { isLeaving, isStoreLost: false }, report === null ? null : engineStatus.encodeEngineStatus({ address: engineAddress, report, isPaused, changesInMs }, { host: checked.host, soleModel: findSoleModel }), listSuspects()),
     onHeartbeat: (heartbeat) => { if (createFleetParts.recordPeerVersions(parts, heartbeat)) stager?.wake() },
     onFact: () => {},
     onDatagram: (bytes, from) => permits.receive(bytes, from) || reservations.receive(bytes, from),
@@ -212,7 +212,7 @@
 
   /** Sends a GET request to another agent; null when it does not have what is requested. */
   async function requestFromAgent (peer: staging.StagingPeer, path: string, headers: Readonly<Record<string, string>> = {}, receiver: Pick<rpc.OutgoingRequest, 'onHead' | 'onBytes'> = {}): Promise<types.Outcome<rpc.WholeAnswer | null, types.UnavailableError>> {
-    const sent = await fetchWhole.fetchWhole(parts.agents, {
+    const sent = await fetchWithIdleTimeout.fetchWithIdleTimeout(parts.agents, {
       base: `http://${peer.address.host}:${peer.address.port}`,
       path,
       method: 'GET',
@@ -272,7 +272,7 @@
   metrics.gauge('peers_live', () => gossip.peers().filter(gossip.isLive).length)
   metrics.gauge('link_part', () => stager?.linkFraction() ?? 1)
   metrics.gauge('engine_running', () => report?.running ?? 0)
-  const closeMetrics = await openMetrics.openMetrics(parts, () => ({
+  const closeMetrics = await openOperatorEndpoints.openOperatorEndpoints(parts, () => ({
     ...createFleetParts.describeSelf(parts, { isLeaving, isStoreLost: false }, null, listSuspects()),
     engine: report === null ? null : { ...report, models: Object.fromEntries(report.models), isPaused, changesInMs },
     agents: listDependableAgents().map((agent) => agent.node)
--- a/packages/daemon/src/startAgentRole/test.ts
+++ b/packages/daemon/src/startAgentRole/test.ts
@@ -15,7 +15,7 @@
 
 /** Starts a gateway, and an engine with its agent for each entry of `versions`; 0 stands for an engine without weights. */
 async function openAgents (context: nodeTest.TestContext, versions: readonly number[]): Promise<OpenedAgents> {
-  const fleet = await fleetTesting.openFleet(context, PIECES)
+  const fleet = await fleetTesting.createTestFleet(context, PIECES)
   fleet.configure()
   await fleet.startGateway(GATEWAY_HOST)
   const engines: testing.EngineStandIn[] = []
@@ -26,7 +26,7 @@
     engines.push(engine)
     agents.push(await fleet.startAgent(AGENT_HOSTS[index] as string, engine, [GATEWAY_HOST]))
   }
-  await fleetTesting.until(() => agents.every((agent) => agent.countPeers() === versions.length))
+  await fleetTesting.waitUntil(() => agents.every((agent) => agent.countPeers() === versions.length))
   return { fleet, engines }
 }
 
@@ -46,14 +46,14 @@
 nodeTest.test('every engine gets an announced version completely, and the origin sends at most two copies', async (context) => {
   const { fleet, engines } = await openAgents(context, [1, 1, 1])
   announceVersion(fleet, 2)
-  await fleetTesting.until(() => engines.every((engine) => engine.version() === 2))
+  await fleetTesting.waitUntil(() => engines.every((engine) => engine.version() === 2))
   assertWholeOrders(engines)
   assert.ok(fleet.origin.sent() <= 2 * PIECES, `${fleet.origin.sent()} pieces`)
 })
 
 nodeTest.test('an engine without weights gets the version that the others run', async (context) => {
   const { engines } = await openAgents(context, [1, 1, 0])
-  await fleetTesting.until(() => engines[2]?.version() === 1)
+  await fleetTesting.waitUntil(() => engines[2]?.version() === 1)
   assertWholeOrders(engines)
 })
 
@@ -62,7 +62,7 @@
   fleet.origin.faults.spoilManifests = 1
   fleet.origin.faults.spoilPieces = 3
   announceVersion(fleet, 2)
-  await fleetTesting.until(() => engines.every((engine) => engine.version() === 2))
+  await fleetTesting.waitUntil(() => engines.every((engine) => engine.version() === 2))
   assertWholeOrders(engines)
 })
 
@@ -76,7 +76,7 @@
     return put(piece, piece === 3 && spoilt === 1 ? Buffer.from('spoilt') : bytes)
   }
   announceVersion(fleet, 2)
-  await fleetTesting.until(() => engine.version() === 2)
+  await fleetTesting.waitUntil(() => engine.version() === 2)
   assertWholeOrders(engines)
 })
 
@@ -84,7 +84,7 @@
   const { engines } = await openAgents(context, [1, 1])
   const [engine] = engines as [testing.EngineStandIn]
   engine.restart()
-  await fleetTesting.until(() => engine.version() === 1)
+  await fleetTesting.waitUntil(() => engine.version() === 1)
   assertWholeOrders(engines)
 })
 
@@ -92,6 +92,6 @@
   const { fleet, engines } = await openAgents(context, [1, 1, 1])
   announceVersion(fleet, 2)
   announceVersion(fleet, 3)
-  await fleetTesting.until(() => engines.every((engine) => engine.version() === 3))
+  await fleetTesting.waitUntil(() => engines.every((engine) => engine.version() === 3))
   assertWholeOrders(engines)
 })
--- a/packages/daemon/src/startBackendRole/index.ts
+++ b/packages/daemon/src/startBackendRole/index.ts
@@ -19,7 +19,7 @@
 import * as describeStatus from '../describeStatus/index.js'
 import * as createDrillMethods from '../_lib/createDrillMethods.js'
 import * as createTransferRequests from '../_lib/createTransferRequests.js'
-import * as planTransfer from '../_lib/planTransfer.js'
+import * as createTransferPlanner from '../_lib/createTransferPlanner.js'
 import * as schemas from '../_lib/schemas.js'
 import type * as startDaemon from '../startDaemon/index.js'
 
@@ -121,7 +121,7 @@
     transfer: transfers,
     serving,
     weights: weightsListener,
-    plan: planTransfer.createPlanTransfer({ node, dataHall, address: listener.address }, keeper.current, settings.experiments.transfer_policy),
+    plan: createTransferPlanner.createTransferPlanner({ node, dataHall, address: listener.address }, keeper.current, settings.experiments.transfer_policy),
     orders: createEngineOrders.createEngineOrders({
       url: backEnd.url,
       checksFences: backEnd.checks_fences,
--- a/packages/daemon/src/startGatewayRole/fuzz.test.ts
+++ b/packages/daemon/src/startGatewayRole/fuzz.test.ts
@@ -18,7 +18,7 @@
 const PATHS = { repeatable: '/read/', once: '/write/', stream: '/stream/' } as const
 
 type Step =
-  | { readonly step: 'call', readonly kind: callOracle.SeenCall['kind'] }
+  | { readonly step: 'call', readonly kind: callOracle.ObservedCall['kind'] }
   | { readonly step: 'fault', readonly engine: number, readonly fault: testing.EngineFaults['next'], readonly count: number }
   /** An engine sends another rate limit, an invalid one, or none any more. */
   | { readonly step: 'limit', readonly engine: number, readonly text: string | null }
@@ -54,16 +54,16 @@
 }
 
 async function openFuzzRun (context: nodeTest.TestContext): Promise<FuzzRun> {
-  const fleet = await fleetTesting.openFleet(context)
+  const fleet = await fleetTesting.createTestFleet(context)
   fleet.configure()
   const parts = { fleet, engines: [] as testing.EngineStandIn[], all: [] as testing.EngineStandIn[] }
   for (let index = 0; index < 5; index += 1) await startEngine(parts, index, 0)
   const address = await fleet.startGateway(HOST)
-  await fleetTesting.untilServed(address, '/read/probe')
+  await fleetTesting.waitUntilServed(address, '/read/probe')
   return { ...parts, address, instances: 0 }
 }
 
-async function sendCall (fuzzRun: FuzzRun, id: string, kind: callOracle.SeenCall['kind']): Promise<callOracle.SeenCall> {
+async function sendCall (fuzzRun: FuzzRun, id: string, kind: callOracle.ObservedCall['kind']): Promise<callOracle.ObservedCall> {
   const answer = await fleetTesting.call(fuzzRun.address, { method: kind === 'once' ? 'POST' : 'GET', path: `${PATHS[kind]}x`, id, headers: kind === 'stream' ? STREAM_HEADERS : {} })
   const seal = answer.headers['engine-seal']
   return { id, kind, status: answer.status, body: answer.body, isWhole: answer.isWhole, seal: typeof seal === 'string' ? seal : null }
@@ -77,8 +77,8 @@
   ended.close()
 }
 
-async function runSteps (fuzzRun: FuzzRun, steps: readonly Step[], name: string): Promise<callOracle.SeenCall[]> {
-  const pending: Array<Promise<callOracle.SeenCall>> = []
+async function runSteps (fuzzRun: FuzzRun, steps: readonly Step[], name: string): Promise<callOracle.ObservedCall[]> {
+  const pending: Array<Promise<callOracle.ObservedCall>> = []
   for (const [index, step] of steps.entries()) {
     if (step.step === 'call') pending.push(sendCall(fuzzRun, `${name}-${index}`, step.kind))
     else if (step.step === 'fault') Object.assign((fuzzRun.engines[step.engine] as testing.EngineStandIn).faults, { next: step.fault, count: step.count })
@@ -103,10 +103,10 @@
   })
 }
 
-const VALID_CALL: callOracle.SeenCall = { id: 'c', kind: 'once', status: 200, body: 'answer of i-1 to c', isWhole: true, seal: 'seal-i-1' }
+const VALID_CALL: callOracle.ObservedCall = { id: 'c', kind: 'once', status: 200, body: 'answer of i-1 to c', isWhole: true, seal: 'seal-i-1' }
 const ARRIVAL: testing.Arrival = { requestId: 'c', method: 'POST', path: '/write/x', headers: {}, body: '', ran: true, at: 0 }
 
-const PLANTED_VIOLATIONS: ReadonlyArray<{ readonly rule: callOracle.Violation['rule'], readonly call: callOracle.SeenCall, readonly arrivals: readonly testing.Arrival[] }> = [
+const PLANTED_VIOLATIONS: ReadonlyArray<{ readonly rule: callOracle.Violation['rule'], readonly call: callOracle.ObservedCall, readonly arrivals: readonly testing.Arrival[] }> = [
   { rule: 'twice', call: VALID_CALL, arrivals: [ARRIVAL, ARRIVAL] },
   { rule: 'refused-but-run', call: { ...VALID_CALL, status: 503 }, arrivals: [ARRIVAL] },
   { rule: 'foreign-answer', call: { ...VALID_CALL, body: 'answer of i-1 to d' }, arrivals: [ARRIVAL] },
--- a/packages/daemon/src/startGatewayRole/index.ts
+++ b/packages/daemon/src/startGatewayRole/index.ts
@@ -9,8 +9,8 @@
 import * as createFleetParts from '../createFleetParts/index.js'
 import * as createRateLimiter from '../createRateLimiter/index.js'
 import * as openTextServer from '../openTextServer/index.js'
-import * as engineNews from '../_lib/engineNews.js'
-import * as openMetrics from '../_lib/openMetrics.js'
+import * as engineStatus from '../_lib/engineStatus.js'
+import * as openOperatorEndpoints from '../_lib/openOperatorEndpoints.js'
 import type * as fleetRole from '../_lib/fleetRole.js'
 
 /** Within this time the load balancer notices that a gateway is not ready. */
@@ -92,7 +92,7 @@
 
   function handleHeartbeat (heartbeat: spread.Heartbeat, delayMs: number, ageMs: number): void {
     createFleetParts.recordPeerVersions(parts, heartbeat)
-    const engineUpdate = engineNews.parseEngineNews(heartbeat.engine, { host: heartbeat.host, soleModel: findSoleModel })
+    const engineUpdate = engineStatus.decodeEngineStatus(heartbeat.engine, { host: heartbeat.host, soleModel: findSoleModel })
     if (engineUpdate === null) return
     const backEnd = parts.backEndAt(engineUpdate.address)
     if (backEnd === undefined) return
@@ -207,7 +207,7 @@
   metrics.gauge('ends_known', callQuarantine.countEnds)
   metrics.gauge('rate_limits_in_force', () => limiter.inForce().length)
   metrics.gauge('facts', exchange.facts.count)
-  const closeMetrics = await openMetrics.openMetrics(parts, () => ({
+  const closeMetrics = await openOperatorEndpoints.openOperatorEndpoints(parts, () => ({
     ...createFleetParts.describeSelf(parts, { isLeaving, isStoreLost: exchange.isStoreLost() }),
     isReady: isReady(),
     inProgress: calls.inProgress(),
--- a/packages/daemon/src/startGatewayRole/lethal.test.ts
+++ b/packages/daemon/src/startGatewayRole/lethal.test.ts
@@ -27,7 +27,7 @@
 
 /** Starts gateways and the engines of one service, each of which ends when it runs the lethal call. */
 async function openLethalFleet (context: nodeTest.TestContext, count: number, lethalAfterMs = 0): Promise<LethalFleet> {
-  const fleet = await fleetTesting.openFleet(context)
+  const fleet = await fleetTesting.createTestFleet(context)
   fleet.configure()
   const engines: testing.EngineStandIn[] = []
   for (let index = 0; index < ENGINES; index += 1) {
@@ -35,7 +35,7 @@
   }
   const gateways: types.Address[] = []
   for (const host of HOSTS.slice(0, count)) gateways.push(await fleet.startGateway(host, [HOSTS[0]]))
-  for (const gateway of gateways) await fleetTesting.untilServed(gateway, '/stream/probe')
+  for (const gateway of gateways) await fleetTesting.waitUntilServed(gateway, '/stream/probe')
   return { fleet, gateways, engines }
 }
 
@@ -74,7 +74,7 @@
   const { fleet, gateways, engines } = await openLethalFleet(context, 3)
   for (const [index, gateway] of [...gateways, ...gateways, ...gateways].entries()) {
     await send(gateway, `lethal-${index}`, LETHAL_PATH)
-    await fleet.untilEndsKnown(countEnded(engines))
+    await fleet.waitForKnownEnds(countEnded(engines))
     assert.equal((await send(gateway, `other-${index}`, '/stream/other')).status, OK)
   }
   assert.equal(countEnded(engines), BLOCK_THRESHOLD)
@@ -87,8 +87,8 @@
   assert.equal(countEnded(engines), BLOCK_THRESHOLD)
   fleet.stopGateway(second.host)
   const restarted = await fleet.startGateway(second.host, [HOSTS[0]])
-  await fleet.untilReady(second.host)
-  await fleet.untilBlocked()
+  await fleet.waitUntilReady(second.host)
+  await fleet.waitForBlockedCalls()
   assert.equal((await send(restarted, 'lethal-again', LETHAL_PATH)).status, SERVICE_UNAVAILABLE)
   assert.equal(countEnded(engines), BLOCK_THRESHOLD)
 })
@@ -96,11 +96,11 @@
 nodeTest.test('gateways that all lost their state read the blocked calls from the store', async (context) => {
   const { fleet, gateways: [gateway], engines } = await openLethalFleet(context, 1)
   for (let index = 0; index < 3; index += 1) await send(gateway as types.Address, `lethal-${index}`, LETHAL_PATH)
-  await fleetTesting.until(() => fleet.store.calls.write > 0)
+  await fleetTesting.waitUntil(() => fleet.store.calls.write > 0)
   fleet.stopGateway(HOSTS[0])
   const restarted = await fleet.startGateway(HOSTS[0])
-  await fleet.untilReady(HOSTS[0])
-  await fleet.untilBlocked()
+  await fleet.waitUntilReady(HOSTS[0])
+  await fleet.waitForBlockedCalls()
   assert.equal((await send(restarted, 'lethal-again', LETHAL_PATH)).status, SERVICE_UNAVAILABLE)
   assert.equal(countEnded(engines), BLOCK_THRESHOLD)
 })
@@ -112,7 +112,7 @@
   // Two of the calls may be sent to the same engine by chance.
   while (countEnginesReached(engines) < BLOCK_THRESHOLD) {
     sent.push(send(first, `lethal-${sent.length}`, LETHAL_PATH))
-    await fleetTesting.until(() => countLethalArrivals(engines) === sent.length)
+    await fleetTesting.waitUntil(() => countLethalArrivals(engines) === sent.length)
   }
   await types.delay(150)
   const last = await send(second, 'lethal-last', LETHAL_PATH)
--- a/packages/daemon/src/startGatewayRole/rateLimits.test.ts
+++ b/packages/daemon/src/startGatewayRole/rateLimits.test.ts
@@ -25,13 +25,13 @@
 
 /** Starts gateways and two engines, one of which advertises a limit in its responses. */
 async function openLimitedFleet (context: nodeTest.TestContext, limit: string): Promise<LimitedFleet> {
-  const fleet = await fleetTesting.openFleet(context)
+  const fleet = await fleetTesting.createTestFleet(context)
   fleet.configure()
   const limited = await fleet.startEngine({ id: 'i-limited', model: fleetTesting.MODEL, version: 1, events: 3 })
   const other = await fleet.startEngine({ id: 'i-other', model: fleetTesting.MODEL, version: 1, events: 3 })
   const gateways: types.Address[] = []
   for (const host of HOSTS) gateways.push(await fleet.startGateway(host, [HOSTS[0]]))
-  for (const gateway of gateways) await fleetTesting.untilServed(gateway, '/stream/probe')
+  for (const gateway of gateways) await fleetTesting.waitUntilServed(gateway, '/stream/probe')
   limited.limit.text = limit
   return { gateways, limited, other }
 }
@@ -96,7 +96,7 @@
   fleet.limited.limit.text = null
   let sent = 0
   for (const gateway of fleet.gateways) {
-    await fleetTesting.until(async () => {
+    await fleetTesting.waitUntil(async () => {
       const before = fleet.limited.arrivals.length
       for (let call = 0; call < CALLS_PER_GATEWAY; call += 1) await send(gateway, `call-${sent++}`)
       return fleet.limited.arrivals.length - before > 4
@@ -105,7 +105,7 @@
 })
 
 nodeTest.test('the agent beside an engine counts calls for all gateways, which learn the limit from its reports', async (context) => {
-  const fleet = await fleetTesting.openFleet(context)
+  const fleet = await fleetTesting.createTestFleet(context)
   fleet.configure()
   const limited = await fleet.startEngine({ id: 'i-limited', model: fleetTesting.MODEL, version: 1, events: 3, host: AGENT_HOST })
   const other = await fleet.startEngine({ id: 'i-other', model: fleetTesting.MODEL, version: 1, events: 3 })
@@ -113,11 +113,11 @@
   await fleet.startAgent(AGENT_HOST, limited, [HOSTS[0]])
   const gateways: types.Address[] = []
   for (const host of HOSTS) gateways.push(await fleet.startGateway(host, [HOSTS[0]]))
-  await fleet.untilLimited(1)
-  for (const gateway of gateways) await fleetTesting.untilServed(gateway, '/stream/probe')
+  await fleet.waitForRateLimits(1)
+  for (const gateway of gateways) await fleetTesting.waitUntilServed(gateway, '/stream/probe')
   let sent = 0
   const before = limited.arrivals.length
-  await fleetTesting.until(async () => {
+  await fleetTesting.waitUntil(async () => {
     await Promise.all(gateways.map(async (gateway) => await send(gateway, `call-${sent++}`)))
     return limited.arrivals.length - before >= 3
   })
@@ -126,36 +126,36 @@
 })
 
 nodeTest.test('a gateway that restarts learns a limit from the others', async (context) => {
-  const fleet = await fleetTesting.openFleet(context)
+  const fleet = await fleetTesting.createTestFleet(context)
   fleet.configure()
   const engine = await fleet.startEngine({ id: 'i-limited', model: fleetTesting.MODEL, version: 1, events: 3 })
   const gateways: types.Address[] = []
   for (const host of HOSTS) gateways.push(await fleet.startGateway(host, [HOSTS[0]]))
-  for (const gateway of gateways) await fleetTesting.untilServed(gateway, '/stream/probe')
+  for (const gateway of gateways) await fleetTesting.waitUntilServed(gateway, '/stream/probe')
   engine.limit.text = '1'
   await send(gateways[0] as types.Address, 'naming')
-  await fleet.untilLimited(1)
+  await fleet.waitForRateLimits(1)
   fleet.stopGateway(HOSTS[1])
   await fleet.startGateway(HOSTS[1], [HOSTS[0]])
   const before = engine.arrivals.length
-  await fleet.untilLimited(1)
+  await fleet.waitForRateLimits(1)
   assert.equal(engine.arrivals.length, before)
 })
 
 nodeTest.test('the limit of a plain back end is kept, too', async (context) => {
-  const fleet = await fleetTesting.openFleet(context)
+  const fleet = await fleetTesting.createTestFleet(context)
   fleet.configure()
   const limited = await fleet.startEngine({ id: 'p-limited' }, 'api')
   await fleet.startEngine({ id: 'p-other' }, 'api')
   const gateways: types.Address[] = []
   for (const host of HOSTS) gateways.push(await fleet.startGateway(host, [HOSTS[0]]))
-  for (const gateway of gateways) await fleetTesting.untilServed(gateway, '/read/probe')
+  for (const gateway of gateways) await fleetTesting.waitUntilServed(gateway, '/read/probe')
   limited.limit.text = '0.5'
-  await fleetTesting.until(async () => {
+  await fleetTesting.waitUntil(async () => {
     await fleetTesting.call(gateways[0] as types.Address, { path: '/read/naming', id: 'naming' })
     return limited.arrivals.some(({ path }) => path === '/read/naming')
   })
-  await fleet.untilLimited(1)
+  await fleet.waitForRateLimits(1)
   const before = limited.arrivals.length
   const answers = await Promise.all(gateways.map(async (gateway, index) => {
     const statuses: number[] = []
@@ -167,18 +167,18 @@
 })
 
 nodeTest.test('an error response without a limit does not end the limit in force', async (context) => {
-  const fleet = await fleetTesting.openFleet(context)
+  const fleet = await fleetTesting.createTestFleet(context)
   fleet.configure()
   const engine = await fleet.startEngine({ id: 'p-limited' }, 'api')
   const gateway = await fleet.startGateway(HOSTS[0])
-  await fleetTesting.untilServed(gateway, '/read/probe')
+  await fleetTesting.waitUntilServed(gateway, '/read/probe')
   engine.limit.text = '5'
   await fleetTesting.call(gateway, { path: '/read/naming', id: 'naming' })
-  await fleet.untilLimited(1)
+  await fleet.waitForRateLimits(1)
   engine.limit.text = null
   Object.assign(engine.faults, { next: 'error', count: 1 })
-  await fleetTesting.until(async () => (await fleetTesting.call(gateway, { path: '/read/error', id: 'error' })).status === ENGINE_ERROR)
-  await fleet.untilLimited(1)
-  await fleetTesting.untilServed(gateway, '/read/again')
-  await fleet.untilLimited(0)
+  await fleetTesting.waitUntil(async () => (await fleetTesting.call(gateway, { path: '/read/error', id: 'error' })).status === ENGINE_ERROR)
+  await fleet.waitForRateLimits(1)
+  await fleetTesting.waitUntilServed(gateway, '/read/again')
+  await fleet.waitForRateLimits(0)
 })
--- a/packages/daemon/src/startGatewayRole/reservations.test.ts
+++ b/packages/daemon/src/startGatewayRole/reservations.test.ts
@@ -22,12 +22,12 @@
 }
 
 nodeTest.test('a call is served when an agent reserves a slot for it, and refused when the engine is full', async (context) => {
-  const fleet = await fleetTesting.openFleet(context)
+  const fleet = await fleetTesting.createTestFleet(context)
   fleet.configure()
   const engine = await fleet.startEngine({ id: 'i-engine', host: AGENT_HOST, model: fleetTesting.MODEL, version: 1, events: 1, eventMs: FIRST_EVENT_MS })
   const gateway = await fleet.startGateway(GATEWAY_HOST, [AGENT_HOST])
   await fleet.startAgent(AGENT_HOST, engine, [GATEWAY_HOST])
-  await fleetTesting.untilServed(gateway, '/stream/probe')
+  await fleetTesting.waitUntilServed(gateway, '/stream/probe')
   for (let batch = 0; batch < BATCHES; batch += 1) {
     await Promise.all(Array.from({ length: CALLS_PER_BATCH }, async (_, index) => await callStream(gateway, `late-${batch}-${index}`)))
   }
--- a/packages/daemon/src/startGatewayRole/test.ts
+++ b/packages/daemon/src/startGatewayRole/test.ts
@@ -15,24 +15,24 @@
 
 /** Starts a gateway and two back ends of a plain service. */
 async function openPlainService (context: nodeTest.TestContext): Promise<OpenedGateway> {
-  const fleet = await fleetTesting.openFleet(context)
+  const fleet = await fleetTesting.createTestFleet(context)
   fleet.configure()
   const engines = [await fleet.startEngine({ id: 'i-1' }, 'api'), await fleet.startEngine({ id: 'i-2' }, 'api')]
   const address = await fleet.startGateway(HOST)
-  await fleetTesting.untilServed(address, '/read/probe')
+  await fleetTesting.waitUntilServed(address, '/read/probe')
   return { fleet, address, engines }
 }
 
 /** Starts a gateway and two engines that answer with event streams. */
 async function openStreamService (context: nodeTest.TestContext, events = 6): Promise<OpenedGateway> {
-  const fleet = await fleetTesting.openFleet(context)
+  const fleet = await fleetTesting.createTestFleet(context)
   fleet.configure()
   const engines = [
     await fleet.startEngine({ id: 'i-1', model: fleetTesting.MODEL, version: 1, events }),
     await fleet.startEngine({ id: 'i-2', model: fleetTesting.MODEL, version: 1, events })
   ]
   const address = await fleet.startGateway(HOST)
-  await fleetTesting.untilServed(address, '/stream/probe')
+  await fleetTesting.waitUntilServed(address, '/stream/probe')
   return { fleet, address, engines }
 }
 
@@ -73,7 +73,7 @@
 })
 
 nodeTest.test('without a configuration the answer is 503, never 404 or 401', async (context) => {
-  const fleet = await fleetTesting.openFleet(context)
+  const fleet = await fleetTesting.createTestFleet(context)
   const address = await fleet.startGateway(HOST)
   const answer = await fleetTesting.call(address, { path: '/read/1', id: 'a' })
   assert.equal(answer.status, 503)
@@ -172,14 +172,14 @@
 nodeTest.test('a call is cancelled at the engine when its caller disconnects', async (context) => {
   const { address, engines } = await openStreamService(context, 1000)
   await fleetTesting.call(address, { path: '/stream/1', id: 's-1', headers: STREAM_HEADERS, leaveAfterMs: 100 })
-  await fleetTesting.until(() => engines.some((engine) => engine.cancelled() > 0))
+  await fleetTesting.waitUntil(() => engines.some((engine) => engine.cancelled() > 0))
 })
 
 nodeTest.test('an engine that was removed from the store gets no new calls', async (context) => {
   const { fleet, address, engines } = await openPlainService(context)
   const [first, second] = engines as [testing.EngineStandIn, testing.EngineStandIn]
   fleet.store.remove('servers', first.id)
-  await fleetTesting.until(async () => {
+  await fleetTesting.waitUntil(async () => {
     const before = first.arrivals.length
     for (let index = 0; index < 6; index += 1) await fleetTesting.call(address, { path: '/read/1', id: `r-${index}` })
     return first.arrivals.length === before
@@ -190,7 +190,7 @@
 nodeTest.test('after the deadline for a version change no call goes to an older version, and callers get a retry time', async (context) => {
   const { fleet, address, engines } = await openStreamService(context)
   fleet.store.put('versions', fleetTesting.MODEL, { model: fleetTesting.MODEL, version: 2 })
-  await fleetTesting.until(async () => (await fleetTesting.call(address, { path: '/stream/1', id: 's', headers: STREAM_HEADERS })).status === 503)
+  await fleetTesting.waitUntil(async () => (await fleetTesting.call(address, { path: '/stream/1', id: 's', headers: STREAM_HEADERS })).status === 503)
   const before = engines.map((engine) => engine.arrivals.length)
   const answer = await fleetTesting.call(address, { path: '/stream/1', id: 's-1', headers: STREAM_HEADERS })
   assert.equal(answer.status, 503)
@@ -200,16 +200,16 @@
 
 for (const down of ['busy', 'silent', 'reset'] as const) {
   nodeTest.test(`a gateway that cannot read the store gets the configuration from its peers (${down})`, async (context) => {
-    const fleet = await fleetTesting.openFleet(context)
+    const fleet = await fleetTesting.createTestFleet(context)
     fleet.configure()
     await fleet.startEngine({ id: 'i-1' }, 'api')
     const first = await fleet.startGateway(HOST)
     const second = await fleet.startGateway(OTHER_HOST, [HOST])
-    await fleetTesting.untilServed(first, '/read/1')
-    await fleetTesting.untilServed(second, '/read/1')
+    await fleetTesting.waitUntilServed(first, '/read/1')
+    await fleetTesting.waitUntilServed(second, '/read/1')
     Object.assign(fleet.store.faults, { down, hosts: new Set([OTHER_HOST]) })
     fleet.configure((configuration) => { configuration.tenants = [{ name: 'tenant-two', apiKeys: ['another-key'], priority: 1 }] })
-    await fleetTesting.until(async () => (await fleetTesting.call(second, { path: '/read/1', id: 'a' })).status === 401)
+    await fleetTesting.waitUntil(async () => (await fleetTesting.call(second, { path: '/read/1', id: 'a' })).status === 401)
   })
 }
 
@@ -219,7 +219,7 @@
   fleet.configure((configuration) => { configuration.routes = configuration.routes.filter((route) => route['name'] !== 'read') })
   fleet.store.compact()
   fleet.store.faults.deafWatches = false
-  await fleetTesting.until(async () => (await fleetTesting.call(address, { path: '/read/1', id: 'a' })).status === 404)
+  await fleetTesting.waitUntil(async () => (await fleetTesting.call(address, { path: '/read/1', id: 'a' })).status === 404)
 })
 
 nodeTest.test('an invalid configuration leaves the last valid one in force', async (context) => {
@@ -235,10 +235,10 @@
   const endlessMs = 600_000
   fleet.configure((configuration) => { for (const route of configuration.routes) route['timeoutMs'] = endlessMs })
   fleet.configure((configuration) => { configuration.routes.push({ ...configuration.routes[0], name: 'after', pathPrefix: '/after/' }) })
-  await fleetTesting.untilServed(address, '/after/probe')
+  await fleetTesting.waitUntilServed(address, '/after/probe')
   injectFault(engines, 'mute')
   const waiting = fleetTesting.call(address, { method: 'POST', path: '/write/last', id: 'w-last', headers: { 'deadline-remaining': String(endlessMs) } })
-  await fleetTesting.until(() => arrivalsOf(engines, 'w-last').length > 0)
+  await fleetTesting.waitUntil(() => arrivalsOf(engines, 'w-last').length > 0)
   const draining = fleet.drainGateway(HOST)
   const late = await fleetTesting.call(address, { path: '/read/late', id: 'r-late' })
   assert.equal(late.status, 503)
--- a/packages/daemon/src/startGatewayRole/wholeness.test.ts
+++ b/packages/daemon/src/startGatewayRole/wholeness.test.ts
@@ -14,11 +14,11 @@
 }
 
 async function openGateway (context: nodeTest.TestContext): Promise<OpenedGateway> {
-  const fleet = await fleetTesting.openFleet(context)
+  const fleet = await fleetTesting.createTestFleet(context)
   fleet.configure()
   const engine = await fleet.startEngine({ id: 'i-1' }, 'api')
   const address = await fleet.startGateway(HOST)
-  await fleetTesting.untilServed(address, '/read/probe')
+  await fleetTesting.waitUntilServed(address, '/read/probe')
   return { address, engine }
 }
 
@@ -34,7 +34,7 @@
 }
 
 function formatHead (lines: readonly string[]): string {
-  return [...lines, `Authorization: Bearer ${fleetTesting.KEY}`, 'Deadline-Remaining: 1500', '', ''].join('\r\n')
+  return [...lines, `Authorization: Bearer ${fleetTesting.API_KEY}`, 'Deadline-Remaining: 1500', '', ''].join('\r\n')
 }
 
 function countArrivals (engine: testing.EngineStandIn, text: string): number {
@@ -97,6 +97,6 @@
     const socket = net.connect(address.port, address.host, () => { socket.write(`${head}abc`, () => { socket.destroy() }) })
     socket.on('close', () => { resolve() })
   })
-  await fleetTesting.untilServed(address, '/read/after')
+  await fleetTesting.waitUntilServed(address, '/read/after')
   assert.equal(countArrivals(engine, 'cut'), 0)
 })
--- a/packages/daemon/src/target.test.ts
+++ b/packages/daemon/src/target.test.ts
@@ -37,7 +37,7 @@
 }
 
 nodeTest.test('the bundled program serves calls as gateway and agent and exits with 0 on SIGTERM', async (context) => {
-  const fleet = await fleetTesting.openFleet(context)
+  const fleet = await fleetTesting.createTestFleet(context)
   fleet.configure()
   const engine = await fleet.startEngine({ id: 'i-1', model: fleetTesting.MODEL, version: 0, digestsOf: fleet.origin.digestsOf })
   const store = `[store]\naddress = "${testing.formatAddress(fleet.store.address)}"\n`
@@ -45,8 +45,8 @@
   const gateway = startProgram(context, `${formatCommonSettings('gateway', GATEWAY_HOST)}[listen]\ncallers = "${GATEWAY_HOST}:${fleet.ports.callers}"\ncontrol = "${GATEWAY_HOST}:${fleet.ports.readiness}"\n${store}[limits]\ngrace_seconds = 4\n`)
   const agent = startProgram(context, `${formatCommonSettings('agent', AGENT_HOST)}[engine]\naddress = "${testing.formatAddress(engine.address)}"\nservice = "llm"\n${store}`)
   const callers = { host: GATEWAY_HOST, port: fleet.ports.callers }
-  await fleetTesting.until(() => engine.version() === 1)
-  await fleetTesting.untilServed(callers, '/stream/1')
+  await fleetTesting.waitUntil(() => engine.version() === 1)
+  await fleetTesting.waitUntilServed(callers, '/stream/1')
   const metrics = await fleetTesting.call({ host: GATEWAY_HOST, port: fleet.ports.readiness }, { path: '/metrics', id: 'm' })
   assert.match(metrics.body, /switchridge_calls_total\{.*ending="answered"/)
   gateway.child.kill('SIGTERM')
--- a/packages/placement/src/mayLeaveVersion/index.ts
+++ b/packages/placement/src/mayStopServing/index.ts
@@ -12,7 +12,7 @@
  * @param members - The known members.
  * @returns True if enough replicas keep serving the row, or if the node is no live replica of another version.
  */
-export function mayLeaveVersion (row: types.ModelRow, node: types.NodeId, members: readonly membership.Member[]): boolean {
+export function mayStopServing (row: types.ModelRow, node: types.NodeId, members: readonly membership.Member[]): boolean {
   const replicas = members.filter((member) => member.condition === 'live' && !member.leaving && servesRow(member, row.id))
   const outdated = replicas.filter((member) => !servesManifest(member, row))
   const maximumStopping = replicas.length - row.minimumServing
