--- a/packages/daemon/src/_lib/createAgentPermitServer.ts
+++ b/packages/daemon/src/_lib/createAgentPermitServer.ts
@@ -13,7 +13,7 @@
 export function createAgentPermitServer ({ now, metrics }: Pick<createFleetParts.FleetParts, 'now' | 'metrics'>, exchange: () => createFleetExchange.FleetExchange | null): rateLimits.PermitServer {
   return rateLimits.createPermitServer({
     counter: rateLimits.createPermitCounter(now),
-    partOf: () => 1,
+    grantableFraction: () => 1,
     send: (host, bytes) => { exchange()?.send(host, bytes) },
     count: metrics.count,
     now
--- a/packages/daemon/src/_lib/entryCall.ts
+++ b/packages/daemon/src/_lib/entryCall.ts
@@ -17,7 +17,7 @@
 /** Computes the fingerprint of a call, by which a repetition of the same call is recognised. */
 export function fingerprintCall (call: sendAttempt.OutgoingCall): quarantine.CallFingerprint {
   const { account, method, service, row, path, body } = call
-  const fingerprint = fingerprintCache.get(call) ?? quarantine.identifyCall({ account: account.id, method, host: `${service}/${row}`, path, body })
+  const fingerprint = fingerprintCache.get(call) ?? quarantine.computeFingerprint({ account: account.id, method, host: `${service}/${row}`, path, body })
   fingerprintCache.set(call, fingerprint)
   return fingerprint
 }
--- a/packages/daemon/src/_lib/rateLimitFacts.test.ts
+++ b/packages/daemon/src/_lib/rateLimitFacts.test.ts
@@ -7,9 +7,9 @@
 
 nodeTest.test('limits are decoded as they were encoded', () => {
   for (const perSecond of [0.5, 20, null]) {
-    const encoded = JSON.parse(JSON.stringify(rateLimitFacts.formatFact({ life: LIFE, perSecond, heardAt: 1 }))) as unknown
+    const encoded = JSON.parse(JSON.stringify(rateLimitFacts.formatFact({ life: LIFE, perSecond, receivedAt: 1 }))) as unknown
     assert.ok(rateLimitFacts.isFact(encoded))
-    assert.deepEqual(rateLimitFacts.parseFact(encoded, 7), { life: LIFE, perSecond, heardAt: 7 })
+    assert.deepEqual(rateLimitFacts.parseFact(encoded, 7), { life: LIFE, perSecond, receivedAt: 7 })
   }
 })
 
--- a/packages/daemon/src/_lib/rateLimitFacts.ts
+++ b/packages/daemon/src/_lib/rateLimitFacts.ts
@@ -26,5 +26,5 @@
 export function parseFact ([, life, perSecond]: readonly unknown[], madeAt: number): rateLimits.RateLimit | null {
   if (!types.isLife(life)) return null
   if (typeof perSecond !== 'number' || !Number.isFinite(perSecond) || perSecond < 0) return null
-  return { life, perSecond: perSecond === ENDED_RATE ? null : perSecond, heardAt: madeAt }
+  return { life, perSecond: perSecond === ENDED_RATE ? null : perSecond, receivedAt: madeAt }
 }
--- a/packages/daemon/src/createBackEndState/index.ts
+++ b/packages/daemon/src/createBackEndState/index.ts
@@ -38,7 +38,7 @@
     noteAnswer: () => { hasTerminated = false },
     findTerminatedInstance: async () => {
       const probe = await options.probe(address, PROBE_TIMEOUT_MS)
-      if (quarantine.judgeEnd({ isCutByPeer: true, isLeaving: false, probe }) !== 'ended') return null
+      if (quarantine.classifyLostAttempt({ isClosedByPeer: true, isLeaving: false, probe }) !== 'ended') return null
       if (!hasTerminated) terminations += 1
       hasTerminated = true
       return types.brandId<types.BackEndLife>(`${options.name}/${terminations}`)
--- a/packages/daemon/src/createBlockArchive/index.ts
+++ b/packages/daemon/src/createBlockArchive/index.ts
@@ -69,7 +69,7 @@
     }
     const { fingerprint, count, blockedAt } = parsed.data
     const ageMs = Math.max(0, options.timeOfDay() - blockedAt)
-    if (ageMs < quarantine.computeBlockKeptMs(count, limits)) options.onBlock({ fingerprint: types.brandId<quarantine.CallFingerprint>(fingerprint), count, since: now() - ageMs })
+    if (ageMs < quarantine.computeBlockRetentionMs(count, limits)) options.onBlock({ fingerprint: types.brandId<quarantine.CallFingerprint>(fingerprint), count, since: now() - ageMs })
     else void remove(object)
   }
 
--- a/packages/daemon/src/createCallQuarantine/index.ts
+++ b/packages/daemon/src/createCallQuarantine/index.ts
@@ -57,7 +57,7 @@
     if (!options.settings.enabled) return
     const life = types.formatLife(backEnd.id, backEnd.bornAt)
     const wasLeaving = isLeaving(backEnd)
-    const verdict = quarantine.judgeEnd({ isCutByPeer: true, isLeaving: wasLeaving, probe: await probe(life, backEnd.address) })
+    const verdict = quarantine.classifyLostAttempt({ isClosedByPeer: true, isLeaving: wasLeaving, probe: await probe(life, backEnd.address) })
     count('calls_lost', { verdict })
     if (verdict !== 'ended') return
     book.noteProcessEnded(backEnd.id)
--- a/packages/daemon/src/createEntryCalls/index.ts
+++ b/packages/daemon/src/createEntryCalls/index.ts
@@ -181,7 +181,7 @@
     let mayHaveRun = false
     budget.earn()
     for (let attempts = 1; ; attempts += 1) {
-      const blockedMs = options.guard.isActive() ? options.guard.findBlock(entryCall.fingerprintCall(call)) : null
+      const blockedMs = options.guard.isActive() ? options.guard.readBlockedMs(entryCall.fingerprintCall(call)) : null
       if (blockedMs !== null) return finalizeOutcome({ kind: 'not-run', reason: BLOCKED_REASON, load: undefined, retryAfterMs: blockedMs }, mayHaveRun)
       const backend = await awaitBackend(prepared, tried, signal)
       if (!backend.ok) return finalizeOutcome({ kind: 'not-run', reason: backend.error.reason, load: undefined }, mayHaveRun)
--- a/packages/daemon/src/createEntryQuarantine/index.ts
+++ b/packages/daemon/src/createEntryQuarantine/index.ts
@@ -9,7 +9,7 @@
 import * as schemas from '../_lib/schemas.js'
 
 /** The part of the quarantine that an entry node uses while it handles a call. */
-export interface EntryGuard extends Pick<createSharedQuarantine.SharedQuarantine, 'isActive' | 'findBlock' | 'noteServed' | 'onBlocked'> {
+export interface EntryGuard extends Pick<createSharedQuarantine.SharedQuarantine, 'isActive' | 'readBlockedMs' | 'noteServed' | 'onBlocked'> {
   /** Records a call that was lost at a backend daemon; resolves once it is known whether the back end there terminated. */
   readonly noteLost: (backend: types.MemberFacts, call: quarantine.CallFingerprint) => Promise<void>
 }
@@ -97,7 +97,7 @@
   }
 
   return {
-    guard: { isActive: shared.isActive, findBlock: shared.findBlock, noteServed: shared.noteServed, onBlocked: shared.onBlocked, noteLost },
+    guard: { isActive: shared.isActive, readBlockedMs: shared.readBlockedMs, noteServed: shared.noteServed, onBlocked: shared.onBlocked, noteLost },
     methods: {
       [FACTS_METHOD]: (params) => {
         const { node, text } = schemas.factsMessageSchema.parse(params)
--- a/packages/daemon/src/createRateLimiter/index.ts
+++ b/packages/daemon/src/createRateLimiter/index.ts
@@ -44,11 +44,11 @@
  */
 export function createRateLimiter (options: RateLimiterOptions): GatewayRateLimiter {
   const { backEnds, logger, metrics: { count }, at, now } = options.parts
-  const record = rateLimits.createRateLimitRecord({ onChange: noteChange, onUnreadable: noteUnreadable, tell: publishLimit, now })
+  const record = rateLimits.createRateLimitRecord({ onChange: noteChange, onUnreadable: noteUnreadable, broadcast: publishLimit, now })
   const counter = rateLimits.createPermitCounter(now)
   const { node, host: ownHost, zone } = options.parts.settings
   const client = rateLimits.createPermitClient({ ownHost, counter, findCounter, send, count, at, now, random: options.random })
-  const server = rateLimits.createPermitServer({ counter, partOf, send, count, now })
+  const server = rateLimits.createPermitServer({ counter, grantableFraction: partOf, send, count, now })
 
   function send (host: string, bytes: Buffer): void {
     options.exchange()?.send(host, bytes)
@@ -66,7 +66,7 @@
   }
 
   function publishLimit (limit: rateLimits.RateLimit): void {
-    options.exchange()?.facts.publish(rateLimitFacts.formatFact(limit), FACT_LIFETIME_MS, now() - limit.heardAt)
+    options.exchange()?.facts.publish(rateLimitFacts.formatFact(limit), FACT_LIFETIME_MS, now() - limit.receivedAt)
   }
 
   function listCandidates (): rateLimits.CounterCandidate[] {
@@ -90,14 +90,14 @@
     return record.read(types.formatLife(id, bornAt))
   }
 
-  async function acquire (backEnd: gateway.BackEnd, isLate: boolean): Promise<rateLimits.PermitAnswer> {
+  async function acquire (backEnd: gateway.BackEnd, isLate: boolean): Promise<rateLimits.PermitDecision> {
     const limit = readLimit(backEnd)
     if (limit === null) return { isGranted: true }
     const askedAt = now()
     const answer = await client.acquire(limit, isLate)
     if (!answer.isGranted) {
       const counterHost = findCounter(limit.life)?.host
-      logger.info('permit-refused', { backEnd: backEnd.id, counter: counterHost, perSecond: limit.perSecond, isLate, ageMs: Math.round(askedAt - limit.heardAt), tookMs: Math.round(now() - askedAt), waitMs: Math.round(answer.waitMs) })
+      logger.info('permit-refused', { backEnd: backEnd.id, counter: counterHost, perSecond: limit.perSecond, isLate, ageMs: Math.round(askedAt - limit.receivedAt), tookMs: Math.round(now() - askedAt), waitMs: Math.round(answer.waitMs) })
     }
     return answer
   }
@@ -109,15 +109,15 @@
       const limit = readLimit(backEnd)
       return limit === null || limit.perSecond === null ? null : { perSecond: limit.perSecond, waitMs: client.waitMs(limit.life, isLate) }
     },
-    noteResponse: ({ id, bornAt }, rate, sentAt) => { record.noteAnswer(types.formatLife(id, bornAt), rate, sentAt) },
-    noteReportedLimit: ({ id, bornAt }, perSecond, heardAt) => { record.noteTold({ life: types.formatLife(id, bornAt), perSecond, heardAt }) },
+    noteResponse: ({ id, bornAt }, rate, sentAt) => { record.noteResponse(types.formatLife(id, bornAt), rate, sentAt) },
+    noteReportedLimit: ({ id, bornAt }, perSecond, heardAt) => { record.noteFromPeer({ life: types.formatLife(id, bornAt), perSecond, receivedAt: heardAt }) },
     inForce: record.inForce,
-    removeUnlisted: () => { record.keepOnly(new Set(backEnds().map(({ id, bornAt }) => types.formatLife(id, bornAt)))) },
+    removeUnlisted: () => { record.retainOnly(new Set(backEnds().map(({ id, bornAt }) => types.formatLife(id, bornAt)))) },
     noteFact: (content, madeAt) => {
       if (!rateLimitFacts.isFact(content)) return false
       const limit = rateLimitFacts.parseFact(content, madeAt)
       if (limit === null) count('facts_unreadable')
-      else record.noteTold(limit)
+      else record.noteFromPeer(limit)
       return true
     },
     receive: (bytes, from) => server.receive(bytes, from) || client.receive(bytes, from)
--- a/packages/daemon/src/createSharedQuarantine/index.ts
+++ b/packages/daemon/src/createSharedQuarantine/index.ts
@@ -37,7 +37,7 @@
   /** Whether any call is suspected or blocked; while none is, callers can skip computing fingerprints. */
   readonly isActive: () => boolean
   /** Returns the remaining block time of a call in milliseconds; null when the call may run. */
-  readonly findBlock: (call: quarantine.CallFingerprint) => number | null
+  readonly readBlockedMs: (call: quarantine.CallFingerprint) => number | null
   /** Records that a back end terminated and lost one call of this daemon. */
   readonly noteEnd: (ended: EndedBackEnd, call: quarantine.CallFingerprint) => void
   readonly noteServed: (call: quarantine.CallFingerprint) => void
@@ -75,7 +75,7 @@
 /** The quarantine of a daemon whose settings disable it. */
 const DISABLED_QUARANTINE: SharedQuarantine = {
   isActive: () => false,
-  findBlock: () => null,
+  readBlockedMs: () => null,
   noteEnd: () => {},
   noteServed: () => {},
   onBlocked: () => {},
@@ -129,7 +129,7 @@
     count('call_blocks', { source })
     logger.warn('call-blocked', { fingerprint, source, times, seconds: Math.round(leftMs / types.MILLISECONDS_IN_SECOND), ends: lives.length, backEnds: lives.slice(-limits.ends).join() })
     if (source === 'own') archive.save(block)
-    if (source !== 'peer') publish({ kind: 'block', call: fingerprint, count: times }, quarantine.computeBlockKeptMs(times, limits), now() - since)
+    if (source !== 'peer') publish({ kind: 'block', call: fingerprint, count: times }, quarantine.computeBlockRetentionMs(times, limits), now() - since)
     for (const listener of listeners) listener(fingerprint)
   }
 
@@ -184,7 +184,7 @@
       if (record.noteServed(call, now())) publish({ kind: 'served', call }, limits.evidenceMs)
     },
     isActive: record.isActive,
-    findBlock: record.findBlock,
+    readBlockedMs: record.readBlockedMs,
     onBlocked: (listener) => { listeners.push(listener) },
     isInitialized: archive.isInitialized,
     blocks: record.blocks,
--- a/packages/daemon/src/startGatewayRole/index.ts
+++ b/packages/daemon/src/startGatewayRole/index.ts
@@ -214,7 +214,7 @@
     store: exchange.storeState(),
     blockedCalls: callQuarantine.blocks().map(({ fingerprint, count, since }) => ({ fingerprint, count, ageSeconds: Math.round((now() - since) / types.MILLISECONDS_IN_SECOND) })),
     endsKnown: callQuarantine.countEnds(),
-    rateLimits: limiter.inForce().map(({ life, perSecond, heardAt }) => ({ life, perSecond, ageSeconds: Math.round((now() - heardAt) / types.MILLISECONDS_IN_SECOND) })),
+    rateLimits: limiter.inForce().map(({ life, perSecond, receivedAt: heardAt }) => ({ life, perSecond, ageSeconds: Math.round((now() - heardAt) / types.MILLISECONDS_IN_SECOND) })),
     peers: gossip.peers().map((peer) => ({ node: peer.heartbeat.node, role: peer.heartbeat.role, zone: peer.heartbeat.zone, isLive: gossip.isLive(peer) })),
     backEnds: parts.backEnds().map((backEnd) => ({ id: backEnd.id, service: backEnd.service, isDraining: backEnd.isDraining, models: Object.fromEntries(backEnd.models) }))
   }))
--- a/packages/fuzz/src/_lib/callFleet.ts
+++ b/packages/fuzz/src/_lib/callFleet.ts
@@ -101,7 +101,7 @@
 }
 
 /** The fuzzer's back end breaks connections but never ends, so quarantine stays inactive. */
-const INACTIVE_GUARD: daemon.EntryGuard = { isActive: () => false, findBlock: () => null, noteServed: () => {}, onBlocked: () => {}, noteLost: async () => {} }
+const INACTIVE_GUARD: daemon.EntryGuard = { isActive: () => false, readBlockedMs: () => null, noteServed: () => {}, onBlocked: () => {}, noteLost: async () => {} }
 const steadyClock = clock.createSteadyClock()
 const scheduleAt = clock.createDeadlineScheduler(steadyClock)
 
--- a/packages/gateway/src/_lib/callOptions.ts
+++ b/packages/gateway/src/_lib/callOptions.ts
@@ -22,7 +22,7 @@
   readonly formatAttempt: (call: gateway.CallHead, attempt: gateway.AttemptHead) => string[]
   readonly readAnswer: (response: http.IncomingMessage, requestId: string) => gateway.AnswerHead
   /** Rate limit that a back end's response advertises. */
-  readonly readAdvertisedRate: (response: http.IncomingMessage) => rateLimits.NamedRate
+  readonly readAdvertisedRate: (response: http.IncomingMessage) => rateLimits.AdvertisedRate
   /** Headers of a response of the gateway itself. */
   readonly formatGatewayAnswer: (requestId: string, retryAfterMs: number | null) => string[]
 }
--- a/packages/gateway/src/_lib/callState.ts
+++ b/packages/gateway/src/_lib/callState.ts
@@ -74,7 +74,7 @@
     hasAttemptResponded: false,
     isRepeatable: kind === 'repeatable' || (kind === 'stream' && isResumable),
     fingerprint: () => {
-      fingerprint ??= quarantine.identifyCall({ account: details.tenant, method: details.head.method, host: details.head.host, path: details.head.path, body: details.body })
+      fingerprint ??= quarantine.computeFingerprint({ account: details.tenant, method: details.head.method, host: details.head.host, path: details.head.path, body: details.body })
       return fingerprint
     },
     isCallerGone: () => isCallerGone,
--- a/packages/gateway/src/_lib/runAttempts.ts
+++ b/packages/gateway/src/_lib/runAttempts.ts
@@ -63,7 +63,7 @@
     for (;;) {
       const isFirst = call.attempts === 0
       const isLate = !reply.hasStarted() && !canMeetTarget(0)
-      const blockedMs = options.guard.isActive() ? options.guard.findBlock(call.fingerprint()) : null
+      const blockedMs = options.guard.isActive() ? options.guard.readBlockedMs(call.fingerprint()) : null
       if (blockedMs !== null) {
         isBlocked = true
         lastReason = BLOCKED_REASON
--- a/packages/gateway/src/types/guard.ts
+++ b/packages/gateway/src/types/guard.ts
@@ -7,7 +7,7 @@
   /** Whether any call is suspected or blocked; while none is, no fingerprints need to be computed. */
   readonly isActive: () => boolean
   /** Milliseconds for which a call stays blocked; null if it may run. */
-  readonly findBlock: (call: quarantine.CallFingerprint) => number | null
+  readonly readBlockedMs: (call: quarantine.CallFingerprint) => number | null
   /** Reports an attempt whose connection was closed by the back end's side; resolves once it is known whether the back end has ended. */
   readonly noteConnectionLost: (backEnd: gateway.BackEnd, call: quarantine.CallFingerprint) => Promise<void>
   /** Reports a call that was served to its end while the guard is active. */
--- a/packages/gateway/src/types/limiter.ts
+++ b/packages/gateway/src/types/limiter.ts
@@ -13,9 +13,9 @@
 /** The rate limiter of a gateway. */
 export interface RateLimiter {
   /** Records the rate that a response advertises; `sentAt`: monotonic time in milliseconds at which its request was sent. */
-  readonly noteResponse: (backEnd: gateway.BackEnd, rate: rateLimits.NamedRate, sentAt: number) => void
+  readonly noteResponse: (backEnd: gateway.BackEnd, rate: rateLimits.AdvertisedRate, sentAt: number) => void
   /** Current allowance of a back end; null for one without a limit. `isLate`: whether the call can no longer be answered in time. */
   readonly readAllowance: (backEnd: gateway.BackEnd, isLate: boolean) => RateAllowance | null
   /** Requests a permit for one request, to be sent at once when granted; always granted for a back end without a limit. */
-  readonly acquire: (backEnd: gateway.BackEnd, isLate: boolean) => Promise<rateLimits.PermitAnswer>
+  readonly acquire: (backEnd: gateway.BackEnd, isLate: boolean) => Promise<rateLimits.PermitDecision>
 }
--- a/packages/quarantine/src/_lib/crashSimulation.ts
+++ b/packages/quarantine/src/_lib/crashSimulation.ts
@@ -2,7 +2,7 @@
 import * as standins from '@switchridge/standins'
 import * as types from '@switchridge/types'
 import * as createQuarantine from '../createQuarantine/index.js'
-import type * as identifyCall from '../identifyCall/index.js'
+import type * as computeFingerprint from '../computeFingerprint/index.js'
 import type * as quarantine from '../types/index.js'
 
 /** The fleet, load and faults to simulate. */
@@ -53,7 +53,7 @@
 }
 
 interface Call {
-  readonly fingerprint: identifyCall.CallFingerprint
+  readonly fingerprint: computeFingerprint.CallFingerprint
   readonly isCrashing: boolean
   attempts: number
   tries: number
@@ -93,8 +93,8 @@
   const engines: Engine[] = Array.from({ length: scenario.engines }, (_, life) => ({ life, running: new Set(), isDown: false }))
   let nextLife = scenario.engines
   const counts = { endedByCrashingCall: 0, endedOtherwise: 0, calls: 0, cut: 0, refused: 0, crashingRefused: 0 }
-  const lateRuns = new Map<identifyCall.CallFingerprint, number>()
-  const crashTimes = new Map<identifyCall.CallFingerprint, number[]>()
+  const lateRuns = new Map<computeFingerprint.CallFingerprint, number>()
+  const crashTimes = new Map<computeFingerprint.CallFingerprint, number[]>()
   const limits: quarantine.QuarantineLimits = { ends: scenario.ends ?? Infinity, evidenceMs: HOUR_MS, blockMs: HOUR_MS, maximumBlockMs: HOUR_MS, maximumEnds: 500, maximumBlocks: 500 }
   const quarantines = Array.from({ length: scenario.gateways }, () => createQuarantine.createQuarantine({ limits, onBlocked: () => {}, onReleased: () => {}, now }))
 
@@ -122,7 +122,7 @@
 
   function send (attempt: Attempt): void {
     const { call, gateway } = attempt
-    if (quarantines[gateway]?.findBlock(call.fingerprint) !== null) {
+    if (quarantines[gateway]?.readBlockedMs(call.fingerprint) !== null) {
       counts[call.isCrashing ? 'crashingRefused' : 'refused'] += 1
       return
     }
@@ -174,7 +174,7 @@
 
   function createCall (name: string, isCrashing = false): Call {
     if (!isCrashing) counts.calls += 1
-    return { fingerprint: types.brandId<identifyCall.CallFingerprint>(name), isCrashing, attempts: 0, tries: 0 }
+    return { fingerprint: types.brandId<computeFingerprint.CallFingerprint>(name), isCrashing, attempts: 0, tries: 0 }
   }
 
   for (let index = 0; index < scenario.callsPerSecond * scenario.seconds; index += 1) scheduleAfter(random() * scenario.seconds * MS_IN_SECOND, () => { startTry(createCall(`call-${index}`)) })
--- a/packages/quarantine/src/judgeEnd/index.ts
+++ b/packages/quarantine/src/classifyLostAttempt/index.ts
@@ -3,7 +3,7 @@
 /** What a gateway knows of an attempt that ended without a complete answer. */
 export interface LostAttempt {
   /** Whether the connection was closed from the back end's side. Otherwise this gateway closed it: at the deadline, when the caller left, or at an idle timeout. */
-  readonly isCutByPeer: boolean
+  readonly isClosedByPeer: boolean
   /** Whether service discovery had marked the back end as leaving or no longer lists it. */
   readonly isLeaving: boolean
   /** Result of a new connection to the same address right afterwards. */
@@ -28,7 +28,7 @@
  * @param attempt - What is known of the attempt.
  * @returns The cause of the loss.
  */
-export function judgeEnd ({ isCutByPeer, isLeaving, probe }: LostAttempt): LossCause {
+export function classifyLostAttempt ({ isClosedByPeer: isCutByPeer, isLeaving, probe }: LostAttempt): LossCause {
   if (!isCutByPeer) return 'own'
   if (isLeaving) return 'planned'
   if (probe === 'silent') return 'unknown'
--- a/packages/quarantine/src/identifyCall/index.ts
+++ b/packages/quarantine/src/computeFingerprint/index.ts
@@ -27,7 +27,7 @@
  * @param identity - The properties that calls must share to count as the same.
  * @returns The fingerprint: up to 13 digits and lowercase letters.
  */
-export function identifyCall ({ account, method, host, path, body }: CallIdentity): CallFingerprint {
+export function computeFingerprint ({ account, method, host, path, body }: CallIdentity): CallFingerprint {
   const hash = crypto.createHash('sha256').update(JSON.stringify([account, method, host, path]))
   if (body !== null) hash.update(body)
   const number = BigInt(`0x${hash.digest('hex').slice(0, DIGEST_CHARACTERS)}`)
--- a/packages/quarantine/src/createQuarantine/index.ts
+++ b/packages/quarantine/src/createQuarantine/index.ts
@@ -1,6 +1,6 @@
 /** Records which calls were lost when back ends ended, and which calls are blocked for it. */
 import * as types from '@switchridge/types'
-import type * as identifyCall from '../identifyCall/index.js'
+import type * as computeFingerprint from '../computeFingerprint/index.js'
 import * as selectCallsToBlock from '../selectCallsToBlock/index.js'
 import * as quarantine from '../types/index.js'
 
@@ -22,11 +22,11 @@
   /** Records the end of a back end with calls that were lost; reports of other gateways about the same end are merged. */
   readonly noteEnd: (end: quarantine.BackEndTermination) => void
   /** Records that a call was completed; returns whether to tell other gateways, since the call was blocked or is suspected of more than one end. */
-  readonly noteServed: (call: identifyCall.CallFingerprint, at: number) => boolean
+  readonly noteServed: (call: computeFingerprint.CallFingerprint, at: number) => boolean
   /** Adopts a block from another gateway or from the store. */
   readonly noteBlock: (block: quarantine.CallBlock) => void
   /** Milliseconds for which a call is still blocked; null if it may run. */
-  readonly findBlock: (call: identifyCall.CallFingerprint) => number | null
+  readonly readBlockedMs: (call: computeFingerprint.CallFingerprint) => number | null
   /** Whether any end or block is stored; otherwise callers needn't compute fingerprints. */
   readonly isActive: () => boolean
   /** All blocks in force. */
@@ -43,7 +43,7 @@
 }
 
 /** Computes for how many milliseconds a block is stored: after the block the call is on probation for the same time, during which a single end blocks it again. */
-export function computeBlockKeptMs (count: number, limits: Pick<quarantine.QuarantineLimits, 'blockMs' | 'maximumBlockMs'>): number {
+export function computeBlockRetentionMs (count: number, limits: Pick<quarantine.QuarantineLimits, 'blockMs' | 'maximumBlockMs'>): number {
   return 2 * computeBlockMs(count, limits)
 }
 
@@ -67,9 +67,9 @@
   const { limits, now } = options
   /** Oldest first. */
   const ends = new Map<types.BackEndLife, quarantine.BackEndTermination>()
-  const endCounts = new Map<identifyCall.CallFingerprint, number>()
-  const servedAt = new Map<identifyCall.CallFingerprint, number>()
-  const blocks = new Map<identifyCall.CallFingerprint, quarantine.CallBlock>()
+  const endCounts = new Map<computeFingerprint.CallFingerprint, number>()
+  const servedAt = new Map<computeFingerprint.CallFingerprint, number>()
+  const blocks = new Map<computeFingerprint.CallFingerprint, quarantine.CallBlock>()
 
   function isInForce ({ count, since }: quarantine.CallBlock): boolean {
     return now() - since < computeBlockMs(count, limits)
@@ -104,23 +104,23 @@
     const oldest = now() - limits.evidenceMs
     for (const end of ends.values()) if (end.at < oldest || ends.size > limits.maximumEnds) removeEnd(end)
     for (const block of blocks.values()) {
-      if (now() - block.since >= computeBlockKeptMs(block.count, limits) || blocks.size > limits.maximumBlocks) blocks.delete(block.fingerprint)
+      if (now() - block.since >= computeBlockRetentionMs(block.count, limits) || blocks.size > limits.maximumBlocks) blocks.delete(block.fingerprint)
     }
   }
 
   /** The time from which on ends count against a call: after a block that is over, only later ends do. */
-  function countEndsFrom (call: identifyCall.CallFingerprint): number {
+  function countEndsFrom (call: computeFingerprint.CallFingerprint): number {
     const block = blocks.get(call)
     return block === undefined || isInForce(block) ? -Infinity : block.since + computeBlockMs(block.count, limits)
   }
 
-  function requiredEnds (call: identifyCall.CallFingerprint): number {
+  function requiredEnds (call: computeFingerprint.CallFingerprint): number {
     const block = blocks.get(call)
     return block === undefined || isInForce(block) ? limits.ends : ENDS_ON_PROBATION
   }
 
   /** Cheap check before all ends are examined: most calls that are lost with a back end have no earlier ends and can't be blocked. */
-  function hasRequiredEnds (call: identifyCall.CallFingerprint): boolean {
+  function hasRequiredEnds (call: computeFingerprint.CallFingerprint): boolean {
     return (endCounts.get(call) ?? 0) >= requiredEnds(call)
   }
 
@@ -133,13 +133,13 @@
     }
   }
 
-  function addBlock (fingerprint: identifyCall.CallFingerprint, count: number): void {
+  function addBlock (fingerprint: computeFingerprint.CallFingerprint, count: number): void {
     const added = { fingerprint, count, since: now() }
     blocks.set(fingerprint, added)
     options.onBlocked(added, [...ends.values()].filter(({ calls }) => calls.has(fingerprint)).map(({ life }) => life))
   }
 
-  function release (call: identifyCall.CallFingerprint, reason: ReleaseReason): void {
+  function release (call: computeFingerprint.CallFingerprint, reason: ReleaseReason): void {
     const known = blocks.get(call)
     if (known === undefined || !isInForce(known)) return
     blocks.delete(call)
@@ -147,7 +147,7 @@
   }
 
   /** Ends the block or the probation of a call that was completed after the block began; returns whether there was one. */
-  function unblockServed (call: identifyCall.CallFingerprint, at: number): boolean {
+  function unblockServed (call: computeFingerprint.CallFingerprint, at: number): boolean {
     const block = blocks.get(call)
     if (block === undefined || at <= block.since) return false
     release(call, 'served')
@@ -180,14 +180,14 @@
     noteBlock: (received) => {
       expire()
       const known = blocks.get(received.fingerprint)
-      if (now() - received.since >= computeBlockKeptMs(received.count, limits)) return
+      if (now() - received.since >= computeBlockRetentionMs(received.count, limits)) return
       if (known !== undefined && known.count >= received.count) return
       if ((servedAt.get(received.fingerprint) ?? -Infinity) > received.since) return
       blocks.set(received.fingerprint, received)
       if (isInForce(received)) options.onBlocked(received, [])
       updateBlocks()
     },
-    findBlock: (call) => {
+    readBlockedMs: (call) => {
       const block = blocks.get(call)
       if (block === undefined || !isInForce(block)) return null
       return block.since + computeBlockMs(block.count, limits) - now()
--- a/packages/quarantine/src/createQuarantine/test.ts
+++ b/packages/quarantine/src/createQuarantine/test.ts
@@ -2,15 +2,15 @@
 import * as nodeTest from 'node:test'
 import * as fastCheck from 'fast-check'
 import * as types from '@switchridge/types'
-import type * as identifyCall from '../identifyCall/index.js'
+import type * as computeFingerprint from '../computeFingerprint/index.js'
 import type * as quarantine from '../types/index.js'
 import * as createQuarantine from './index.js'
 
 const LIMITS: quarantine.QuarantineLimits = { ends: 3, evidenceMs: 600_000, blockMs: 600_000, maximumBlockMs: 86_400_000, maximumEnds: 50, maximumBlocks: 10 }
-const CRASHING = types.brandId<identifyCall.CallFingerprint>('crashing')
+const CRASHING = types.brandId<computeFingerprint.CallFingerprint>('crashing')
 
-function fingerprint (name: string): identifyCall.CallFingerprint {
-  return types.brandId<identifyCall.CallFingerprint>(name)
+function fingerprint (name: string): computeFingerprint.CallFingerprint {
+  return types.brandId<computeFingerprint.CallFingerprint>(name)
 }
 
 interface Fixture {
@@ -48,20 +48,20 @@
 nodeTest.test('a call is blocked at the third end, for the configured time', () => {
   const fixture = createFixture()
   for (const beside of ['a', 'b']) fixture.end('crashing', beside)
-  assert.equal(fixture.quarantine.findBlock(CRASHING), null)
+  assert.equal(fixture.quarantine.readBlockedMs(CRASHING), null)
   fixture.end('crashing', 'c')
-  assert.equal(fixture.quarantine.findBlock(CRASHING), LIMITS.blockMs)
-  assert.equal(fixture.quarantine.findBlock(fingerprint('a')), null)
+  assert.equal(fixture.quarantine.readBlockedMs(CRASHING), LIMITS.blockMs)
+  assert.equal(fixture.quarantine.readBlockedMs(fingerprint('a')), null)
   assert.deepEqual(fixture.events, ['blocked crashing 1 after 3'])
   fixture.advance(LIMITS.blockMs)
-  assert.equal(fixture.quarantine.findBlock(CRASHING), null)
+  assert.equal(fixture.quarantine.readBlockedMs(CRASHING), null)
 })
 
 nodeTest.test('the same end reported by several gateways counts once', () => {
   const { quarantine: record, now } = createFixture()
   const life = types.brandId<types.BackEndLife>('i-1')
   for (const beside of ['a', 'b', 'c']) record.noteEnd({ life, at: now(), calls: new Set([CRASHING, fingerprint(beside)]) })
-  assert.equal(record.findBlock(CRASHING), null)
+  assert.equal(record.readBlockedMs(CRASHING), null)
   assert.equal(record.countSuspects(), 4)
 })
 
@@ -73,7 +73,7 @@
       record.noteEnd({ life, at: now(), calls: new Set([CRASHING, fingerprint(`${beside}-${index}`)]) })
       advance(100)
     }
-    assert.equal(record.findBlock(CRASHING) !== null, index === 2)
+    assert.equal(record.readBlockedMs(CRASHING) !== null, index === 2)
     advance(3000)
   }
 })
@@ -82,12 +82,12 @@
   const fixture = createFixture()
   for (let index = 0; index < 3; index += 1) fixture.end('crashing')
   fixture.advance(LIMITS.blockMs + 1)
-  assert.equal(fixture.quarantine.findBlock(CRASHING), null)
+  assert.equal(fixture.quarantine.readBlockedMs(CRASHING), null)
   fixture.end('crashing')
-  assert.equal(fixture.quarantine.findBlock(CRASHING), 4 * LIMITS.blockMs)
+  assert.equal(fixture.quarantine.readBlockedMs(CRASHING), 4 * LIMITS.blockMs)
   fixture.advance(4 * LIMITS.blockMs + 1)
   fixture.end('crashing')
-  assert.equal(fixture.quarantine.findBlock(CRASHING), 16 * LIMITS.blockMs)
+  assert.equal(fixture.quarantine.readBlockedMs(CRASHING), 16 * LIMITS.blockMs)
 })
 
 nodeTest.test('a call that is completed after its block needs three ends again', () => {
@@ -96,7 +96,7 @@
   fixture.advance(LIMITS.blockMs + 1)
   assert.equal(fixture.quarantine.noteServed(fingerprint('call'), fixture.now()), true)
   for (let index = 0; index < 2; index += 1) fixture.end('call')
-  assert.equal(fixture.quarantine.findBlock(fingerprint('call')), null)
+  assert.equal(fixture.quarantine.readBlockedMs(fingerprint('call')), null)
 })
 
 nodeTest.test('a completed copy of a blocked call lifts the block', () => {
@@ -104,7 +104,7 @@
   for (let index = 0; index < 3; index += 1) fixture.end('call')
   fixture.advance(1)
   assert.equal(fixture.quarantine.noteServed(fingerprint('call'), fixture.now()), true)
-  assert.equal(fixture.quarantine.findBlock(fingerprint('call')), null)
+  assert.equal(fixture.quarantine.readBlockedMs(fingerprint('call')), null)
   assert.deepEqual(fixture.events, ['blocked call 1 after 3', 'released call served'])
 })
 
@@ -112,11 +112,11 @@
   const fixture = createFixture()
   const lives = [1, 2, 3].map((index) => types.brandId<types.BackEndLife>(`i-shared-${index}`))
   for (const life of lives) fixture.quarantine.noteEnd({ life, at: fixture.now(), calls: new Set([fingerprint('beside')]) })
-  assert.notEqual(fixture.quarantine.findBlock(fingerprint('beside')), null)
+  assert.notEqual(fixture.quarantine.readBlockedMs(fingerprint('beside')), null)
   fixture.end('crashing')
   for (const life of lives) fixture.quarantine.noteEnd({ life, at: fixture.now(), calls: new Set([CRASHING]) })
-  assert.equal(fixture.quarantine.findBlock(fingerprint('beside')), null)
-  assert.notEqual(fixture.quarantine.findBlock(CRASHING), null)
+  assert.equal(fixture.quarantine.readBlockedMs(fingerprint('beside')), null)
+  assert.notEqual(fixture.quarantine.readBlockedMs(CRASHING), null)
   assert.equal(fixture.events.at(-1), 'released beside explained')
 })
 
@@ -124,9 +124,9 @@
   const fixture = createFixture()
   fixture.advance(10_000_000)
   fixture.quarantine.noteBlock({ fingerprint: CRASHING, count: 1, since: fixture.now() - 200_000 })
-  assert.equal(fixture.quarantine.findBlock(CRASHING), LIMITS.blockMs - 200_000)
+  assert.equal(fixture.quarantine.readBlockedMs(CRASHING), LIMITS.blockMs - 200_000)
   fixture.quarantine.noteBlock({ fingerprint: fingerprint('old'), count: 1, since: fixture.now() - 2 * LIMITS.blockMs })
-  assert.equal(fixture.quarantine.findBlock(fingerprint('old')), null)
+  assert.equal(fixture.quarantine.readBlockedMs(fingerprint('old')), null)
 })
 
 nodeTest.test('ends expire after the evidence time', () => {
@@ -134,7 +134,7 @@
   for (let index = 0; index < 2; index += 1) fixture.end('rare')
   fixture.advance(LIMITS.evidenceMs + 1)
   fixture.end('rare')
-  assert.equal(fixture.quarantine.findBlock(fingerprint('rare')), null)
+  assert.equal(fixture.quarantine.readBlockedMs(fingerprint('rare')), null)
   assert.equal(fixture.quarantine.countSuspects(), 1)
 })
 
@@ -146,7 +146,7 @@
     fixture.end(`a-${index}`, `b-${index}`)
   }
   assert.ok(fixture.quarantine.countSuspects() <= 2 * (LIMITS.maximumEnds + 1))
-  assert.notEqual(fixture.quarantine.findBlock(CRASHING), null)
+  assert.notEqual(fixture.quarantine.readBlockedMs(CRASHING), null)
   for (let index = 0; index < 4 * LIMITS.maximumBlocks; index += 1) fixture.quarantine.noteBlock({ fingerprint: fingerprint(`received-${index}`), count: 1, since: fixture.now() })
   assert.ok(fixture.quarantine.blocks().length <= LIMITS.maximumBlocks + 1)
 })
--- a/packages/quarantine/src/index.ts
+++ b/packages/quarantine/src/index.ts
@@ -1,6 +1,6 @@
 /** Detects calls that crash the back ends that run them, and blocks them before they crash others. */
 export * from './createQuarantine/index.js'
-export * from './identifyCall/index.js'
-export * from './judgeEnd/index.js'
+export * from './computeFingerprint/index.js'
+export * from './classifyLostAttempt/index.js'
 export * from './selectCallsToBlock/index.js'
 export * from './types/index.js'
--- a/packages/quarantine/src/selectCallsToBlock/index.ts
+++ b/packages/quarantine/src/selectCallsToBlock/index.ts
@@ -1,22 +1,22 @@
 /** Selects, among the calls that were lost with back ends, those that are likely to have ended them. */
-import type * as identifyCall from '../identifyCall/index.js'
+import type * as computeFingerprint from '../computeFingerprint/index.js'
 import type * as quarantine from '../types/index.js'
 
 /** What a gateway knows of calls; gateways with the same evidence select the same calls. */
 export interface Evidence {
   readonly ends: Iterable<quarantine.BackEndTermination>
   /** Monotonic time in milliseconds at which a call was last completed; earlier ends don't count against it. */
-  readonly servedAt: (call: identifyCall.CallFingerprint) => number
+  readonly servedAt: (call: computeFingerprint.CallFingerprint) => number
   /** Number of ends after which a call is blocked. */
-  readonly requiredEnds: (call: identifyCall.CallFingerprint) => number
+  readonly requiredEnds: (call: computeFingerprint.CallFingerprint) => number
   /** Monotonic time in milliseconds from which on ends count against a call. */
-  readonly countEndsFrom: (call: identifyCall.CallFingerprint) => number
+  readonly countEndsFrom: (call: computeFingerprint.CallFingerprint) => number
 }
 
 /** The calls to block, and those that reached the required number of ends only because they ran beside a blocked call. */
 export interface Selection {
-  readonly blocked: ReadonlySet<identifyCall.CallFingerprint>
-  readonly explained: ReadonlySet<identifyCall.CallFingerprint>
+  readonly blocked: ReadonlySet<computeFingerprint.CallFingerprint>
+  readonly explained: ReadonlySet<computeFingerprint.CallFingerprint>
 }
 
 /**
@@ -42,8 +42,8 @@
   const candidates = [...endsByCall]
     .filter(([call, ends]) => ends.length >= evidence.requiredEnds(call))
     .sort(([, left], [, right]) => right.length - left.length)
-  const blocked = new Map<identifyCall.CallFingerprint, number>()
-  const explained = new Set<identifyCall.CallFingerprint>()
+  const blocked = new Map<computeFingerprint.CallFingerprint, number>()
+  const explained = new Set<computeFingerprint.CallFingerprint>()
   for (const [call, ends] of candidates) {
     const unexplained = ends.filter((end) => !isExplained(end, ends.length, blocked))
     const required = evidence.requiredEnds(call)
@@ -53,8 +53,8 @@
   return { blocked: new Set(blocked.keys()), explained }
 }
 
-function groupEndsByCall ({ ends, servedAt, countEndsFrom }: Evidence): Map<identifyCall.CallFingerprint, quarantine.BackEndTermination[]> {
-  const endsByCall = new Map<identifyCall.CallFingerprint, quarantine.BackEndTermination[]>()
+function groupEndsByCall ({ ends, servedAt, countEndsFrom }: Evidence): Map<computeFingerprint.CallFingerprint, quarantine.BackEndTermination[]> {
+  const endsByCall = new Map<computeFingerprint.CallFingerprint, quarantine.BackEndTermination[]>()
   for (const end of ends) {
     for (const call of end.calls) {
       if (end.at <= servedAt(call) || end.at < countEndsFrom(call)) continue
@@ -67,7 +67,7 @@
 }
 
 /** Whether the back end was also running a blocked call that has more ends than the examined one. */
-function isExplained (end: quarantine.BackEndTermination, endCount: number, blocked: ReadonlyMap<identifyCall.CallFingerprint, number>): boolean {
+function isExplained (end: quarantine.BackEndTermination, endCount: number, blocked: ReadonlyMap<computeFingerprint.CallFingerprint, number>): boolean {
   for (const [call, blockedEndCount] of blocked) if (blockedEndCount > endCount && end.calls.has(call)) return true
   return false
 }
--- a/packages/quarantine/src/selectCallsToBlock/test.ts
+++ b/packages/quarantine/src/selectCallsToBlock/test.ts
@@ -2,14 +2,14 @@
 import * as nodeTest from 'node:test'
 import * as fastCheck from 'fast-check'
 import * as types from '@switchridge/types'
-import type * as identifyCall from '../identifyCall/index.js'
+import type * as computeFingerprint from '../computeFingerprint/index.js'
 import type * as quarantine from '../types/index.js'
 import * as selectCallsToBlock from './index.js'
 
 const REQUIRED_ENDS = 3
 
-function fingerprint (name: string): identifyCall.CallFingerprint {
-  return types.brandId<identifyCall.CallFingerprint>(name)
+function fingerprint (name: string): computeFingerprint.CallFingerprint {
+  return types.brandId<computeFingerprint.CallFingerprint>(name)
 }
 
 /** Creates ends one millisecond apart, each with the calls that were lost. */
--- a/packages/quarantine/src/types/index.ts
+++ b/packages/quarantine/src/types/index.ts
@@ -1,6 +1,6 @@
 /** Types of the evidence against calls, of blocks and of their limits. */
 import type * as types from '@switchridge/types'
-import type * as identifyCall from '../identifyCall/index.js'
+import type * as computeFingerprint from '../computeFingerprint/index.js'
 
 /** The unexpected end of a back end process, with the calls that were lost with it. */
 export interface BackEndTermination {
@@ -8,12 +8,12 @@
   /** Monotonic time in milliseconds. */
   readonly at: number
   /** Calls that it was running or had queued, as far as gateways have reported them. */
-  readonly calls: ReadonlySet<identifyCall.CallFingerprint>
+  readonly calls: ReadonlySet<computeFingerprint.CallFingerprint>
 }
 
 /** A call that all gateways refuse for a limited time. */
 export interface CallBlock {
-  readonly fingerprint: identifyCall.CallFingerprint
+  readonly fingerprint: computeFingerprint.CallFingerprint
   /** Number of times the call has been blocked, including this one. */
   readonly count: number
   /** Monotonic time in milliseconds at which the block began. */
--- a/packages/rate-limits/src/_lib/limitSimulation.ts
+++ b/packages/rate-limits/src/_lib/limitSimulation.ts
@@ -120,7 +120,7 @@
   }
 
   function startCounter (host: string, part: number): void {
-    counters.set(host, createPermitServer.createPermitServer({ counter: createPermitCounter.createPermitCounter(now), partOf: () => part, send: createSender(host), count: () => {}, now }))
+    counters.set(host, createPermitServer.createPermitServer({ counter: createPermitCounter.createPermitCounter(now), grantableFraction: () => part, send: createSender(host), count: () => {}, now }))
   }
 
   function startGateway (index: number): void {
@@ -157,7 +157,7 @@
 
   async function sendCall ({ permitSource }: Gateway): Promise<void> {
     if (permitSource.waitMs(LIFE, false) > 0) return
-    const decision = await permitSource.acquire({ life: LIFE, perSecond: scenario.perSecond, heardAt: 0 }, false)
+    const decision = await permitSource.acquire({ life: LIFE, perSecond: scenario.perSecond, receivedAt: 0 }, false)
     if (decision.isGranted) scheduleAt(computeSendTime(), () => { arrivals.push(now()) })
   }
 
--- a/packages/rate-limits/src/createPermitClient/index.ts
+++ b/packages/rate-limits/src/createPermitClient/index.ts
@@ -43,7 +43,7 @@
 interface PendingRequest {
   readonly host: string
   readonly requestedAt: number
-  readonly finish: (decision: rateLimits.PermitAnswer) => void
+  readonly finish: (decision: rateLimits.PermitDecision) => void
 }
 
 /**
@@ -61,7 +61,7 @@
   const lateRetryTimes = new Map<types.BackEndLife, number>()
   let lastRequestId = Math.floor(options.random() * REQUEST_ID_RANGE)
 
-  function recordDecision (life: types.BackEndLife, isLate: boolean, decision: rateLimits.PermitAnswer): rateLimits.PermitAnswer {
+  function recordDecision (life: types.BackEndLife, isLate: boolean, decision: rateLimits.PermitDecision): rateLimits.PermitDecision {
     const times = isLate ? lateRetryTimes : retryTimes
     removePastTimes(times)
     if (!decision.isGranted) times.set(life, now() + decision.waitMs)
@@ -73,10 +73,10 @@
     for (const [life, retryAt] of times) if (retryAt <= now()) times.delete(life)
   }
 
-  async function requestPermit (host: string, limit: rateLimits.RateLimit & { readonly perSecond: number }, isLate: boolean): Promise<rateLimits.PermitAnswer> {
+  async function requestPermit (host: string, limit: rateLimits.RateLimit & { readonly perSecond: number }, isLate: boolean): Promise<rateLimits.PermitDecision> {
     lastRequestId += 1
     const requestId = lastRequestId
-    const sendRequest = (): void => { options.send(host, permitWire.formatRequest({ requestId, life: limit.life, perSecond: limit.perSecond, ageMs: now() - limit.heardAt, isLate })) }
+    const sendRequest = (): void => { options.send(host, permitWire.formatRequest({ requestId, life: limit.life, perSecond: limit.perSecond, ageMs: now() - limit.receivedAt, isLate })) }
     return await new Promise((resolve) => {
       const cancelRetransmit = options.at(now() + RETRANSMIT_MS, sendRequest)
       const cancelTimeout = options.at(now() + REPLY_TIMEOUT_MS, () => {
@@ -105,13 +105,13 @@
       return Math.max(0, (retryTimes.get(life) ?? 0) - now(), isLate ? (lateRetryTimes.get(life) ?? 0) - now() : 0)
     },
     acquire: async (limit, isLate) => {
-      const { life, perSecond, heardAt } = limit
+      const { life, perSecond, receivedAt } = limit
       if (perSecond === null) return { isGranted: true }
       const counter = options.findCounter(life)
       if (counter === null) return recordDecision(life, isLate, { isGranted: false, waitMs: NO_REPLY_WAIT_MS })
-      if (counter.host === options.ownHost) return recordDecision(life, isLate, options.counter.take({ life, perSecond, heardAt }, counter.part, isLate))
+      if (counter.host === options.ownHost) return recordDecision(life, isLate, options.counter.take({ life, perSecond, receivedAt }, counter.part, isLate))
       pendingLives.add(life)
-      const decision = await requestPermit(counter.host, { life, perSecond, heardAt }, isLate)
+      const decision = await requestPermit(counter.host, { life, perSecond, receivedAt }, isLate)
       pendingLives.delete(life)
       return recordDecision(life, isLate, decision)
     },
--- a/packages/rate-limits/src/createPermitCounter/index.ts
+++ b/packages/rate-limits/src/createPermitCounter/index.ts
@@ -11,7 +11,7 @@
    * @param part - Fraction of the rate that this daemon may grant.
    * @param isLate - Whether the answer to the request will miss its target time.
    */
-  readonly take: (limit: rateLimits.RateLimit & { readonly perSecond: number }, part: number, isLate?: boolean) => rateLimits.PermitAnswer
+  readonly take: (limit: rateLimits.RateLimit & { readonly perSecond: number }, part: number, isLate?: boolean) => rateLimits.PermitDecision
 }
 
 /** A back end with a lower limit still gets one request every five seconds: without responses the end of the limit would go unnoticed. */
@@ -72,7 +72,7 @@
     take: (limit, part, isLate = false) => {
       const state = findOrCreate(limit)
       state.requestedAt = now()
-      if (limit.heardAt > state.limit.heardAt) state.limit = limit
+      if (limit.receivedAt > state.limit.receivedAt) state.limit = limit
       state.rate = Math.max(MINIMUM_PER_SECOND, (state.limit.perSecond ?? limit.perSecond) * part)
       const capacity = MINIMUM_BURST + state.rate * BURST_SECONDS
       state.bucket.setRate(state.rate, capacity)
--- a/packages/rate-limits/src/createPermitCounter/test.ts
+++ b/packages/rate-limits/src/createPermitCounter/test.ts
@@ -7,15 +7,15 @@
 
 interface Fixture {
   time: number
-  readonly take: (perSecond: number, heardAt?: number, part?: number) => number
+  readonly take: (perSecond: number, receivedAt?: number, part?: number) => number
 }
 
 /** Creates a counter whose `take` returns 0 for a granted permit, or the milliseconds to wait. */
 function createFixture (): Fixture {
   const fixture = { time: 1000 } as { time: number, take: Fixture['take'] }
   const counter = createPermitCounter.createPermitCounter(() => fixture.time)
-  fixture.take = (perSecond, heardAt = 0, part = 1) => {
-    const decision = counter.take({ life: LIFE, perSecond, heardAt }, part)
+  fixture.take = (perSecond, receivedAt = 0, part = 1) => {
+    const decision = counter.take({ life: LIFE, perSecond, receivedAt }, part)
     return decision.isGranted ? 0 : decision.waitMs
   }
   return fixture
@@ -64,7 +64,7 @@
 nodeTest.test('a late call gets a permit only from a nearly full bucket and does not delay other calls', () => {
   let time = 0
   const counter = createPermitCounter.createPermitCounter(() => time)
-  const limit = { life: LIFE, perSecond: 8, heardAt: 0 }
+  const limit = { life: LIFE, perSecond: 8, receivedAt: 0 }
   counter.take(limit, 1)
   time = 250
   assert.equal(counter.take(limit, 1, true).isGranted, false)
--- a/packages/rate-limits/src/createPermitServer/index.ts
+++ b/packages/rate-limits/src/createPermitServer/index.ts
@@ -7,7 +7,7 @@
 export interface PermitServerOptions {
   readonly counter: createPermitCounter.PermitCounter
   /** Fraction of the limit that this daemon may grant; null if another daemon is the counter. */
-  readonly partOf: (life: types.BackEndLife) => number | null
+  readonly grantableFraction: (life: types.BackEndLife) => number | null
   readonly send: (host: string, bytes: Buffer) => void
   readonly count: (name: string, labels?: Readonly<Record<string, string>>) => void
   /** Monotonic clock in milliseconds. */
@@ -36,7 +36,7 @@
  * @param options - The counter, transport, metrics and clock.
  * @returns The server.
  */
-export function createPermitServer ({ counter, partOf, send, count, now }: PermitServerOptions): PermitServer {
+export function createPermitServer ({ counter, grantableFraction: partOf, send, count, now }: PermitServerOptions): PermitServer {
   /** Oldest first. */
   const recentReplies = new Map<string, SentReply>()
 
@@ -53,7 +53,7 @@
       count('permits_answered', { answer: 'elsewhere' })
       return { requestId, waitMs: NOT_COUNTER_WAIT_MS }
     }
-    const decision = counter.take({ life, perSecond, heardAt: now() - ageMs }, part, isLate)
+    const decision = counter.take({ life, perSecond, receivedAt: now() - ageMs }, part, isLate)
     count('permits_answered', { answer: decision.isGranted ? 'granted' : 'refused' })
     return { requestId, waitMs: decision.isGranted ? 0 : decision.waitMs }
   }
--- a/packages/rate-limits/src/createPermitServer/test.ts
+++ b/packages/rate-limits/src/createPermitServer/test.ts
@@ -21,7 +21,7 @@
   const fixture = { time: 0, part: 1 as number | null, replies: [] as Fixture['replies'], dropped: [] as unknown[] }
   const server = createPermitServer.createPermitServer({
     counter: createPermitCounter.createPermitCounter(() => fixture.time),
-    partOf: () => fixture.part,
+    grantableFraction: () => fixture.part,
     send: (_host, bytes) => { fixture.replies.push(permitWire.decodeReply(bytes)) },
     count: (name, labels) => { if (name === 'datagrams_dropped') fixture.dropped.push(labels) },
     now: () => fixture.time
--- a/packages/rate-limits/src/createRateLimitRecord/index.ts
+++ b/packages/rate-limits/src/createRateLimitRecord/index.ts
@@ -20,7 +20,7 @@
   /** Called with an advertised limit that can't be parsed, but not again while the text stays the same. */
   readonly onUnreadable: (life: types.BackEndLife, text: string) => void
   /** Broadcasts a limit that is new to this daemon or was not broadcast for a while to all other gateways. */
-  readonly tell: (limit: rateLimits.RateLimit) => void
+  readonly broadcast: (limit: rateLimits.RateLimit) => void
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
 }
@@ -34,9 +34,9 @@
    * @param rate - What the headers of its response advertise.
    * @param sentAt - Monotonic time in milliseconds at which the call was sent.
    */
-  readonly noteAnswer: (life: types.BackEndLife, rate: rateLimits.NamedRate, sentAt: number) => void
+  readonly noteResponse: (life: types.BackEndLife, rate: rateLimits.AdvertisedRate, sentAt: number) => void
   /** Records a limit received from another daemon, if it is newer than the known one. */
-  readonly noteTold: (limit: rateLimits.RateLimit) => void
+  readonly noteFromPeer: (limit: rateLimits.RateLimit) => void
   /** The limit in force, or null. */
   readonly read: (life: types.BackEndLife) => rateLimits.RateLimit | null
   /** Whether no limit is recorded, not even one that has ended. */
@@ -44,7 +44,7 @@
   /** All limits in force. */
   readonly inForce: () => rateLimits.RateLimit[]
   /** Removes the limits of back ends that are no longer listed. */
-  readonly keepOnly: (lives: ReadonlySet<types.BackEndLife>) => void
+  readonly retainOnly: (lives: ReadonlySet<types.BackEndLife>) => void
 }
 
 /** An unchanged limit is broadcast again after this time, for daemons that missed the first broadcast and its repairs. */
@@ -68,7 +68,7 @@
  * @param options - Listeners, broadcast and clock.
  * @returns The record.
  */
-export function createRateLimitRecord ({ onChange, onUnreadable, tell, now }: RateLimitRecordOptions): RateLimitRecord {
+export function createRateLimitRecord ({ onChange, onUnreadable, broadcast: tell, now }: RateLimitRecordOptions): RateLimitRecord {
   const entries = new Map<types.BackEndLife, Entry>()
   const unreadableTexts = new Map<types.BackEndLife, string>()
 
@@ -90,7 +90,7 @@
   function noteAdvertised (life: types.BackEndLife, perSecond: number): void {
     const entry = entries.get(life)
     const wasBroadcast = entry !== undefined && wasBroadcastRecently(entry, perSecond)
-    const limit = { life, perSecond, heardAt: now() }
+    const limit = { life, perSecond, receivedAt: now() }
     set(limit, 'answer', wasBroadcast ? entry.broadcastAt : now())
     if (!wasBroadcast) tell(limit)
   }
@@ -101,8 +101,8 @@
    */
   function noteUnlimited (life: types.BackEndLife, sentAt: number): void {
     const entry = entries.get(life)
-    if (entry === undefined || entry.limit.perSecond === null || sentAt <= entry.limit.heardAt) return
-    const limit = { life, perSecond: null, heardAt: now() }
+    if (entry === undefined || entry.limit.perSecond === null || sentAt <= entry.limit.receivedAt) return
+    const limit = { life, perSecond: null, receivedAt: now() }
     set(limit, 'answer', now())
     tell(limit)
   }
@@ -114,7 +114,7 @@
     },
     isEmpty: () => entries.size === 0,
     inForce: () => [...entries.values()].map(({ limit }) => limit).filter(({ perSecond }) => perSecond !== null),
-    noteAnswer: (life, rate, sentAt) => {
+    noteResponse: (life, rate, sentAt) => {
       if (rate.kind === 'named') noteAdvertised(life, rate.perSecond)
       else if (rate.kind === 'none') noteUnlimited(life, sentAt)
       else if (unreadableTexts.get(life) !== rate.text) {
@@ -122,13 +122,13 @@
         onUnreadable(life, rate.text)
       }
     },
-    noteTold: (limit) => {
+    noteFromPeer: (limit) => {
       const entry = entries.get(limit.life)
-      if (entry === undefined || limit.heardAt > entry.limit.heardAt) set(limit, 'peer', now())
+      if (entry === undefined || limit.receivedAt > entry.limit.receivedAt) set(limit, 'peer', now())
     },
-    keepOnly: (lives) => {
+    retainOnly: (lives) => {
       for (const life of unreadableTexts.keys()) if (!lives.has(life)) unreadableTexts.delete(life)
-      for (const [life, { limit }] of entries) if (!lives.has(life) && now() - limit.heardAt > UNLISTED_RETENTION_MS) entries.delete(life)
+      for (const [life, { limit }] of entries) if (!lives.has(life) && now() - limit.receivedAt > UNLISTED_RETENTION_MS) entries.delete(life)
     }
   }
 }
--- a/packages/rate-limits/src/types/index.ts
+++ b/packages/rate-limits/src/types/index.ts
@@ -2,7 +2,7 @@
 import type * as types from '@switchridge/types'
 
 /** The rate limit that one response of a back end advertises. */
-export type NamedRate =
+export type AdvertisedRate =
   /** No rate limit; only the slots of the back end bound its load. */
   | { readonly kind: 'none' }
   /** Requests per second from all gateways together; above zero. */
@@ -15,11 +15,11 @@
   /** Requests per second from all gateways together; null once the back end has stopped advertising a limit. */
   readonly perSecond: number | null
   /** Monotonic time in milliseconds at which a daemon last received this value from the back end. */
-  readonly heardAt: number
+  readonly receivedAt: number
 }
 
 /** Whether a request may be sent to a rate-limited back end now, or when to ask again. */
-export type PermitAnswer =
+export type PermitDecision =
   | { readonly isGranted: true }
   /** `waitMs`: milliseconds until a permit is expected to be available. */
   | { readonly isGranted: false, readonly waitMs: number }
@@ -29,5 +29,5 @@
   /** Milliseconds until a permit should be requested; 0 if it may be requested now. `isLate` as in `acquire`. */
   readonly waitMs: (life: types.BackEndLife, isLate: boolean) => number
   /** Requests a permit for one request, which must be sent at once if granted; `isLate`: its answer will miss its target time. */
-  readonly acquire: (limit: RateLimit, isLate: boolean) => Promise<PermitAnswer>
+  readonly acquire: (limit: RateLimit, isLate: boolean) => Promise<PermitDecision>
 }
