--- a/packages/daemon/src/_lib/callHeaders.ts
+++ b/packages/daemon/src/_lib/callHeaders.ts
@@ -38,7 +38,7 @@
 }
 
 /** Parses a load; undefined if the header is absent or malformed. */
-export function parseLoad (text: string | string[] | undefined): routing.StatedLoad | undefined {
+export function parseLoad (text: string | string[] | undefined): routing.ReportedLoad | undefined {
   if (typeof text !== 'string') return undefined
   const [running, waiting, limit, queue] = text.split('/').map(Number)
   const isComplete = [running, waiting, limit, queue].every((part) => Number.isFinite(part))
--- a/packages/daemon/src/_lib/createTransferPlanner.ts
+++ b/packages/daemon/src/_lib/createTransferPlanner.ts
@@ -91,7 +91,7 @@
     case 'origin': return transfer.createOriginPolicy(startedAt)
     case 'chain': return transfer.createTreePolicy({ self, holders, manifestDigest: row.manifest, children: 1, startedAt })
     case 'tree': return transfer.createTreePolicy({ self, holders, manifestDigest: row.manifest, children: 2, startedAt })
-    case 'random-chunk': return { ...createSwarmPolicy(input, holders), prefersRare: false }
+    case 'random-chunk': return { ...createSwarmPolicy(input, holders), rarestFirst: false }
     case 'swarm': return createSwarmPolicy(input, holders)
   }
 }
@@ -101,11 +101,11 @@
   return transfer.createSwarmPolicy({
     self,
     holders,
-    group,
+    originGroup: group,
     manifestDigest: row.manifest,
     chunkBytes: manifest.chunkBytes,
     originBytesPerSecond: row.originBytesPerSecond,
     startedAt,
-    mayReadAgain: (provider) => hasSpareOriginCopy || holders.find((peer) => peer.node === provider)?.dataHall === self.dataHall
+    mayRereadOrigin: (provider) => hasSpareOriginCopy || holders.find((peer) => peer.node === provider)?.dataHall === self.dataHall
   })
 }
--- a/packages/daemon/src/_lib/createTransferRequests.ts
+++ b/packages/daemon/src/_lib/createTransferRequests.ts
@@ -34,7 +34,7 @@
     fetchChunk: async (peer, digest, chunk, have, timeoutMs, signal) => await transfer.fetchChunk(peer.address, digest, chunk, have, createFetchOptions(timeoutMs, signal)),
     fetchOrigin: async (source, from, length, timeoutMs, signal) => await transfer.fetchOriginRange(formatOriginUrl(source), from, length, createFetchOptions(timeoutMs, signal)),
     announce: (peer, digest, have) => { void parts.client.call(peer.address, 'transfer.announce', { digest, node: self, have, backlog: backlog() }, CONTROL_TIMEOUT_MS) },
-    askProvider: async (peer, digest, chunk, wouldTakeOver) => {
+    queryProvider: async (peer, digest, chunk, wouldTakeOver) => {
       const answer = await parts.client.call<transfer.ProviderAnswer>(peer.address, 'transfer.provider', { digest, chunk, successor: wouldTakeOver ? self : null }, CONTROL_TIMEOUT_MS)
       return answer.ok ? answer.value : 'unreachable'
     }
--- a/packages/daemon/src/createBackendCalls/index.ts
+++ b/packages/daemon/src/createBackendCalls/index.ts
@@ -73,7 +73,7 @@
       refuse(context, 'not-serving')
       return
     }
-    const admitted = admission.enter({ account: types.brandId<types.AccountId>(call.account), share: call.share, priority: call.priority })
+    const admitted = admission.admit({ account: types.brandId<types.AccountId>(call.account), share: call.share, priority: call.priority })
     await runAdmitted(context, call, ticket, admitted, pin?.served)
     pin?.release()
   }
@@ -85,7 +85,7 @@
     return tickets.open(ticket) ? '' : 'ticket-closed'
   }
 
-  async function runAdmitted (context: Koa.Context, call: Call, ticket: types.TicketId, admitted: routing.Admitted, served: types.ServedVersion | undefined): Promise<void> {
+  async function runAdmitted (context: Koa.Context, call: Call, ticket: types.TicketId, admitted: routing.AdmissionRequest, served: types.ServedVersion | undefined): Promise<void> {
     const cancelExpiry = options.after(call.deadlineMs, () => { admitted.cancel('deadline') })
     const cancel = (): void => { admitted.cancel('cancelled') }
     context.req.once('aborted', cancel)
@@ -182,7 +182,7 @@
     context.set(callHeaders.OUTCOME_HEADER, 'answered')
     context.set(callHeaders.LOAD_HEADER, callHeaders.formatLoad(admission.load()))
     if (served !== undefined) context.set(callHeaders.VERSION_HEADER, `${served.row}@${served.version}`)
-    response.on('data', (part: Buffer) => { options.uplink.spend(part.length) })
+    response.on('data', (part: Buffer) => { options.uplink.countCallBytes(part.length) })
     response.pause()
     const isComplete = await sendStream.sendStream(context, response)
     options.count(isComplete ? 'calls.answered' : 'calls.broken')
--- a/packages/daemon/src/createEntryCalls/index.ts
+++ b/packages/daemon/src/createEntryCalls/index.ts
@@ -179,7 +179,7 @@
     const budget = findBudget(service)
     const tried = new Set<types.NodeId>()
     let mayHaveRun = false
-    budget.earn()
+    budget.noteCall()
     for (let attempts = 1; ; attempts += 1) {
       const blockedMs = options.guard.isActive() ? options.guard.readBlockedMs(entryCall.fingerprintCall(call)) : null
       if (blockedMs !== null) return finalizeOutcome({ kind: 'not-run', reason: BLOCKED_REASON, load: undefined, retryAfterMs: blockedMs }, mayHaveRun)
--- a/packages/daemon/src/createHeartbeats/index.ts
+++ b/packages/daemon/src/createHeartbeats/index.ts
@@ -23,7 +23,7 @@
   /** Addresses of the entry nodes in the settings. */
   readonly seeds: readonly types.Address[]
   readonly readLoad: () => routing.Load | null
-  readonly noteLoad: (node: types.NodeId, load: routing.StatedLoad) => void
+  readonly noteLoad: (node: types.NodeId, load: routing.ReportedLoad) => void
   /** Called after each round, and after each received heartbeat with changed facts or from a daemon that was not known as live. */
   readonly onRefresh: () => void
   /** Random number from 0 to 1. */
--- a/packages/daemon/src/createPlacementLoop/index.ts
+++ b/packages/daemon/src/createPlacementLoop/index.ts
@@ -17,7 +17,7 @@
   readonly view: membership.MemberView
   readonly keeper: createTableKeeper.TableKeeper
   readonly store: transfer.ChunkStore
-  readonly transfer: transfer.Transfer
+  readonly transfer: transfer.TransferManager
   readonly serving: createServedVersions.ServedVersions
   readonly orders: createEngineOrders.EngineOrders
   readonly weights: createWeightsListener.WeightsListener
--- a/packages/daemon/src/createPlacementLoop/test.ts
+++ b/packages/daemon/src/createPlacementLoop/test.ts
@@ -61,7 +61,7 @@
     store,
     serving,
     logger,
-    transfer: { setWanted: () => {} } as unknown as transfer.Transfer,
+    transfer: { setWanted: () => {} } as unknown as transfer.TransferManager,
     orders: { load: async ({ manifest }) => await recordOrder(`load ${manifest}`), unload: async (manifest) => await recordOrder(`unload ${manifest}`) },
     weights: { offer: () => ({ url: '', withdraw: () => {} }), close: () => {} },
     plan: (() => ({})) as never,
--- a/packages/daemon/src/sendAttempt/index.ts
+++ b/packages/daemon/src/sendAttempt/index.ts
@@ -23,11 +23,11 @@
 
 /** Outcome of an attempt, with the load that the backend daemon reported. */
 export type AttemptResult =
-  | { readonly kind: 'answered', readonly response: http.IncomingMessage, readonly load: routing.StatedLoad | undefined }
+  | { readonly kind: 'answered', readonly response: http.IncomingMessage, readonly load: routing.ReportedLoad | undefined }
   /** The call was not executed, and this attempt never will be. */
-  | { readonly kind: 'not-run', readonly reason: string, readonly load: routing.StatedLoad | undefined }
+  | { readonly kind: 'not-run', readonly reason: string, readonly load: routing.ReportedLoad | undefined }
   /** The call may have been executed. */
-  | { readonly kind: 'unknown', readonly reason: string, readonly load: routing.StatedLoad | undefined }
+  | { readonly kind: 'unknown', readonly reason: string, readonly load: routing.ReportedLoad | undefined }
 
 /** Options of {@link sendAttempt}. */
 export interface AttemptOptions {
--- a/packages/daemon/src/startBackendRole/index.ts
+++ b/packages/daemon/src/startBackendRole/index.ts
@@ -55,12 +55,12 @@
     parts.metrics.increment(name)
   }
 
-  const transfers = transfer.createTransfer({
+  const transfers = transfer.createTransferManager({
     store: chunkStore,
     requests: createTransferRequests.createTransferRequests(parts, node, () => uploader.backlog()),
     downlink,
     requestsInFlight: settings.limits.requests_in_flight,
-    perPeer: REQUESTS_PER_PEER,
+    requestsPerPeer: REQUESTS_PER_PEER,
     now: parts.now,
     random: parts.random,
     onComplete: (digest) => {
@@ -161,7 +161,7 @@
     },
     'transfer.provider': (params) => {
       const request = schemas.providerSchema.parse(params)
-      return transfers.answerProvider(types.brandId<types.Digest>(request.digest), request.chunk, request.successor === null ? null : types.brandId<types.NodeId>(request.successor))
+      return transfers.answerProviderQuery(types.brandId<types.Digest>(request.digest), request.chunk, request.successor === null ? null : types.brandId<types.NodeId>(request.successor))
     },
     ...createDrillMethods.createDrillMethods(parts)
   }
@@ -181,7 +181,7 @@
     address: listener.address,
     callerAddress: null,
     drain: async () => {
-      admission.leave()
+      admission.close()
       self.update({ state: 'leaving' })
       await heartbeats.sendNow()
       while (admission.load().running > 0) await types.delay(DRAIN_POLL_MS)
--- a/packages/daemon/src/startEntryRole/index.ts
+++ b/packages/daemon/src/startEntryRole/index.ts
@@ -23,7 +23,7 @@
   'late-binding': routing.pickLateBinding,
   'least-loaded': routing.pickLeastLoaded,
   'two-choices': routing.pickTwoChoices,
-  'least-stated': routing.pickLeastStated,
+  'least-stated': routing.pickLeastReported,
   random: routing.pickRandom
 }
 
@@ -99,7 +99,7 @@
     client: parts.client,
     seeds: createCommonParts.readSeeds(settings),
     readLoad: () => null,
-    noteLoad: (node, load) => { loads.noteStated(node, load) },
+    noteLoad: (node, load) => { loads.noteReported(node, load) },
     onRefresh: dispatcher.dispatchWaiting,
     random: parts.random
   })
@@ -122,7 +122,7 @@
     status: () => describeStatus.describeStatus(parts, self.read(), { transfers: [], load: null, counts: { ...calls.counts, ...quarantine.counts(), waiting: dispatcher.waiting(), inProgress: calls.inProgress() } }),
     'slots.free': (params) => {
       const hint = schemas.hintSchema.parse(params)
-      loads.noteStated(types.brandId<types.NodeId>(hint.node), hint.load)
+      loads.noteReported(types.brandId<types.NodeId>(hint.node), hint.load)
       dispatcher.dispatchWaiting()
       return null
     },
--- a/packages/fuzz/src/_lib/callFleet.ts
+++ b/packages/fuzz/src/_lib/callFleet.ts
@@ -72,7 +72,7 @@
       backends[index]?.listener.abort()
       backends[index] = await startBackend(index)
     },
-    leave: (index) => { backends[index]?.admission.leave() },
+    leave: (index) => { backends[index]?.admission.close() },
     close: async () => {
       for (const { listener } of [...entryNodes.map((listener) => ({ listener })), ...backends, { listener: backEnd }]) listener.abort()
       agents.destroy()
--- a/packages/routing/src/createAdmission/index.ts
+++ b/packages/routing/src/createAdmission/index.ts
@@ -16,7 +16,7 @@
 }
 
 /** A request for a slot, granted, waiting or refused. */
-export interface Admitted {
+export interface AdmissionRequest {
   /** Resolves with the function that releases the slot, or with the reason for the refusal. */
   readonly slot: Promise<types.Outcome<() => void, NotRunError>>
   /** Removes the request from the queue; has no effect once the slot is granted or refused. */
@@ -36,12 +36,12 @@
 /** Admission of one backend server. */
 export interface Admission {
   /** Counts the call synchronously: when this returns, the call runs, waits or is refused. */
-  readonly enter: (call: createFairQueue.QueuedCall) => Admitted
+  readonly admit: (call: createFairQueue.QueuedCall) => AdmissionRequest
   readonly load: () => Load
   /** Sets how many calls may run and how many may wait at a time, and admits waiting calls for which there is a slot now. */
   readonly setLimits: (limit: number, queue: number) => void
   /** Refuses all waiting and all future calls; running calls may finish. */
-  readonly leave: () => void
+  readonly close: () => void
 }
 
 interface Waiter {
@@ -62,7 +62,7 @@
   let running = 0
   let isClosed = false
 
-  function admit (call: createFairQueue.QueuedCall): Admitted {
+  function admit (call: createFairQueue.QueuedCall): AdmissionRequest {
     if (isClosed) return refuse('leaving')
     if (running < limits.limit) {
       running += 1
@@ -102,8 +102,8 @@
   }
 
   return {
-    enter: admit,
-    leave: close,
+    admit,
+    close,
     load: () => ({ running, waiting: waiting.size(), ...limits }),
     setLimits: (nextLimit, nextQueue) => {
       limits = { limit: nextLimit, queue: nextQueue }
@@ -113,6 +113,6 @@
   }
 }
 
-function refuse (reason: RefusalReason): Admitted {
+function refuse (reason: RefusalReason): AdmissionRequest {
   return { slot: Promise.resolve(types.fail(new NotRunError(reason))), cancel: () => {} }
 }
--- a/packages/routing/src/createBackendHealth/test.ts
+++ b/packages/routing/src/createBackendHealth/test.ts
@@ -28,7 +28,7 @@
     const budget = routing.createRetryBudget(0.1)
     let spent = 0
     for (let call = 0; call < 1000; call += 1) {
-      budget.earn()
+      budget.noteCall()
       if (budget.trySpend()) spent += 1
     }
     assert.ok(spent <= 105 && spent >= 100, `${spent} extra attempts`)
--- a/packages/routing/src/createBackendLoads/index.ts
+++ b/packages/routing/src/createBackendLoads/index.ts
@@ -2,7 +2,7 @@
 import type * as types from '@switchridge/types'
 
 /** Load that a backend daemon reports with answers and heartbeats. */
-export interface StatedLoad {
+export interface ReportedLoad {
   readonly running: number
   readonly waiting: number
   readonly limit: number
@@ -19,15 +19,15 @@
   /** Calls that may wait on the server at a time. */
   readonly queue: number
   /** Load from the last report, without the calls sent since then. */
-  readonly statedLoad: number
+  readonly reportedLoad: number
 }
 
 /** The loads of all backend servers. */
 export interface BackendLoads {
   readonly noteSent: (node: types.NodeId) => void
   /** Records the end of an attempt, with the load reported in its answer; without one, the last reported load is reduced by this call. */
-  readonly noteEnded: (node: types.NodeId, reported?: StatedLoad) => void
-  readonly noteStated: (node: types.NodeId, reported: StatedLoad) => void
+  readonly noteEnded: (node: types.NodeId, reported?: ReportedLoad) => void
+  readonly noteReported: (node: types.NodeId, reported: ReportedLoad) => void
   readonly readCandidate: (node: types.NodeId, limit: number, queue: number) => Candidate
   /** Number of attempts of this entry node that the server has not ended yet. */
   readonly outstanding: (node: types.NodeId) => number
@@ -56,14 +56,14 @@
     return entry
   }
 
-  function noteReported (node: types.NodeId, reported: StatedLoad): void {
+  function noteReported (node: types.NodeId, reported: ReportedLoad): void {
     const entry = findOrCreate(node)
     entry.reportedLoad = reported.running + reported.waiting
     entry.sentSinceReport = 0
   }
 
   return {
-    noteStated: noteReported,
+    noteReported,
     noteSent: (node) => {
       const entry = findOrCreate(node)
       entry.outstanding += 1
@@ -77,7 +77,7 @@
     },
     readCandidate: (node, limit, queue) => {
       const entry = findOrCreate(node)
-      return { node, limit, queue, statedLoad: entry.reportedLoad, load: Math.max(entry.outstanding, entry.reportedLoad + entry.sentSinceReport) }
+      return { node, limit, queue, reportedLoad: entry.reportedLoad, load: Math.max(entry.outstanding, entry.reportedLoad + entry.sentSinceReport) }
     },
     outstanding: (node) => findOrCreate(node).outstanding,
     forget: (node) => { entries.delete(node) }
--- a/packages/routing/src/createRetryBudget/index.ts
+++ b/packages/routing/src/createRetryBudget/index.ts
@@ -3,7 +3,7 @@
 /** The retry budget of one service at one entry node. */
 export interface RetryBudget {
   /** Records a call, which adds a fraction of an extra attempt to the budget. */
-  readonly earn: () => void
+  readonly noteCall: () => void
   /** Takes one extra attempt from the budget; returns false when less than one is left. */
   readonly trySpend: () => boolean
   readonly setRatio: (ratio: number) => void
@@ -22,7 +22,7 @@
   let balance = RESERVE_ATTEMPTS * Math.min(1, ratio * 10)
   let currentRatio = ratio
   return {
-    earn: () => { balance = Math.min(balance + currentRatio, RESERVE_ATTEMPTS + currentRatio * 100) },
+    noteCall: () => { balance = Math.min(balance + currentRatio, RESERVE_ATTEMPTS + currentRatio * 100) },
     trySpend: () => {
       if (balance < 1) return false
       balance -= 1
--- a/packages/routing/src/pickBackend/index.ts
+++ b/packages/routing/src/pickBackend/index.ts
@@ -14,7 +14,7 @@
 export const pickRandom: PickBackend = (candidates, random) => candidates[Math.floor(random() * candidates.length)] ?? null
 
 /** Takes the candidate with the lowest reported load and ignores the calls sent since the report. */
-export const pickLeastStated: PickBackend = (candidates, random) => pickLeast(candidates, random, (candidate) => candidate.statedLoad / candidate.limit)
+export const pickLeastReported: PickBackend = (candidates, random) => pickLeast(candidates, random, (candidate) => candidate.reportedLoad / candidate.limit)
 
 /** Takes the candidate with the lowest load, including the calls that this entry node sent since the last report. */
 export const pickLeastLoaded: PickBackend = (candidates, random) => pickLeast(candidates, random, (candidate) => candidate.load / candidate.limit)
--- a/packages/routing/src/pickBackend/test.ts
+++ b/packages/routing/src/pickBackend/test.ts
@@ -3,7 +3,7 @@
 import * as types from '@switchridge/types'
 import * as routing from '../index.js'
 
-const createCandidate = (node: string, load: number): routing.Candidate => ({ node: types.brandId(node), load, statedLoad: load, limit: 4, queue: 1 })
+const createCandidate = (node: string, load: number): routing.Candidate => ({ node: types.brandId(node), load, reportedLoad: load, limit: 4, queue: 1 })
 const alwaysZero = (): number => 0
 
 test.describe('pickBackend', () => {
@@ -24,7 +24,7 @@
   test.it('counts calls sent since the last load report', () => {
     const loads = routing.createBackendLoads()
     const node = types.brandId<types.NodeId>('a')
-    loads.noteStated(node, { running: 2, waiting: 0, limit: 4, queue: 1 })
+    loads.noteReported(node, { running: 2, waiting: 0, limit: 4, queue: 1 })
     loads.noteSent(node)
     assert.equal(loads.readCandidate(node, 4, 1).load, 3)
     loads.noteEnded(node, { running: 1, waiting: 0, limit: 4, queue: 1 })
--- a/packages/staging/src/createPieceUplink/index.ts
+++ b/packages/staging/src/createPieceUplink/index.ts
@@ -43,7 +43,7 @@
       await Promise.race([before, types.delay(maximumWaitMs)])
       for (let offset = 0; offset < bytes.length; offset += SLICE_BYTES) {
         const slice = bytes.subarray(offset, offset + SLICE_BYTES)
-        await pacer.take(slice.length / share())
+        await pacer.waitToSend(slice.length / share())
         left -= slice.length
         queuedBytes -= slice.length
         yield slice
--- a/packages/standins/src/createOriginStandIn/index.ts
+++ b/packages/standins/src/createOriginStandIn/index.ts
@@ -72,7 +72,7 @@
       if (offset >= breakAt && faults.stall) await timers.setTimeout(STALL_MS, undefined, { ref: false })
       if (offset >= breakAt && isEveryNth(number, faults.closeEvery)) throw new Error('simulated fault: connection closed in the middle of a range')
       const slice = bytes.subarray(offset, offset + SLICE_BYTES)
-      await link.take(slice.length)
+      await link.waitToSend(slice.length)
       counts.bytes += slice.length
       yield isEveryNth(number, faults.corruptEvery) && offset === 0 ? flipFirstBit(slice) : slice
     }
--- a/packages/transfer/src/createDownload/index.ts
+++ b/packages/transfer/src/createDownload/index.ts
@@ -15,7 +15,7 @@
   readonly fetchOrigin: (source: string, from: number, length: number, timeoutMs: number, signal: AbortSignal) => Promise<fetchChunk.OriginAnswer>
   readonly announce: (peer: transfer.Peer, digest: types.Digest, have: string) => void
   /** Queries a provider for the state of a chunk. The provider gives the chunk up only if the requester would take it over. */
-  readonly askProvider: (peer: transfer.Peer, digest: types.Digest, chunk: number, wouldTakeOver: boolean) => Promise<transfer.ProviderAnswer>
+  readonly queryProvider: (peer: transfer.Peer, digest: types.Digest, chunk: number, wouldTakeOver: boolean) => Promise<transfer.ProviderAnswer>
 }
 
 /** Options of {@link createDownload}. */
@@ -167,7 +167,7 @@
       return true
     }
     const choice = chooseRequest.chooseRequest({
-      wanted, imported, peers: peers.list(), holders: peers.holders, tieBreakers, rarestFirst: policy.prefersRare, now: now(), requestsPerPeer: options.requestsPerPeer, uploadMs, random: options.random
+      wanted, imported, peers: peers.list(), holders: peers.holders, tieBreakers, rarestFirst: policy.rarestFirst, now: now(), requestsPerPeer: options.requestsPerPeer, uploadMs, random: options.random
     })
     if (choice === null) return false
     void requestFromPeer(choice.chunk, choice.peer)
@@ -332,7 +332,7 @@
     const peer = importer === null ? undefined : peers.find(importer)
     if (peer === undefined) return
     nextProviderQueryAt.set(chunk, now() + PROVIDER_QUERY_INTERVAL_MS)
-    const answer = await requests.askProvider(peer, digest, chunk, false)
+    const answer = await requests.queryProvider(peer, digest, chunk, false)
     if (answer !== 'has') return
     peers.noteHolder(peer.node, chunk)
     options.onProgress()
@@ -341,7 +341,7 @@
   async function queryOverdueProvider (current: transfer.TransferPolicy, chunk: number, provider: types.NodeId): Promise<void> {
     nextProviderQueryAt.set(chunk, now() + PROVIDER_QUERY_INTERVAL_MS)
     const peer = peers.find(provider)
-    const answer = peer === undefined ? 'unreachable' : await requests.askProvider(peer, digest, chunk, true)
+    const answer = peer === undefined ? 'unreachable' : await requests.queryProvider(peer, digest, chunk, true)
     if (answer === 'reading' || holding.has(chunk)) return
     if (answer === 'has' && peer !== undefined) {
       peers.noteHolder(provider, chunk)
--- a/packages/transfer/src/createLinkPacer/index.ts
+++ b/packages/transfer/src/createLinkPacer/index.ts
@@ -4,14 +4,14 @@
 /** One direction of a link. */
 export interface LinkPacer {
   /** Waits until the bytes of weights have passed the link. */
-  readonly take: (bytes: number) => Promise<void>
+  readonly waitToSend: (bytes: number) => Promise<void>
   /**
    * Waits until bytes that were received over another link could have passed this one too. Bytes pass both
    * links at the same time, so a link that was idle adds no delay.
    */
   readonly waitToReceive: (bytes: number) => Promise<void>
   /** Counts bytes of calls without delaying them; weights that are paced later wait correspondingly longer. */
-  readonly spend: (bytes: number) => void
+  readonly countCallBytes: (bytes: number) => void
   /** Milliseconds that the link needs for the traffic it has accepted. */
   readonly backlogMs: () => number
 }
@@ -40,11 +40,11 @@
     for (let waitMs = due - now(); waitMs > 0; waitMs = due - now()) await types.delay(Math.ceil(waitMs))
   }
 
-  if (bytesPerSecond === 0) return { take: async () => {}, waitToReceive: async () => {}, spend: () => {}, backlogMs: () => 0 }
+  if (bytesPerSecond === 0) return { waitToSend: async () => {}, waitToReceive: async () => {}, countCallBytes: () => {}, backlogMs: () => 0 }
   return {
-    take: async (bytes) => { await waitUntil(reserve(bytes, MAXIMUM_CREDIT_MS)) },
+    waitToSend: async (bytes) => { await waitUntil(reserve(bytes, MAXIMUM_CREDIT_MS)) },
     waitToReceive: async (bytes) => { await waitUntil(reserve(bytes, MAXIMUM_CREDIT_MS + bytes * MILLISECONDS_PER_SECOND / bytesPerSecond)) },
-    spend: (bytes) => { reserve(bytes, MAXIMUM_CREDIT_MS) },
+    countCallBytes: (bytes) => { reserve(bytes, MAXIMUM_CREDIT_MS) },
     backlogMs: () => Math.max(0, freeAt - now())
   }
 }
--- a/packages/transfer/src/createLinkPacer/test.ts
+++ b/packages/transfer/src/createLinkPacer/test.ts
@@ -9,9 +9,9 @@
     context.mock.timers.enable({ apis: ['setTimeout', 'Date'] })
     const link = createLinkPacer.createLinkPacer(RATE, () => Date.now())
     const passed: string[] = []
-    link.spend(1000)
-    const first = link.take(1000).then(() => passed.push('first'))
-    const second = link.take(1000).then(() => passed.push('second'))
+    link.countCallBytes(1000)
+    const first = link.waitToSend(1000).then(() => passed.push('first'))
+    const second = link.waitToSend(1000).then(() => passed.push('second'))
     for (let elapsed = 0; elapsed < 1990; elapsed += 10) {
       context.mock.timers.tick(10)
       await new Promise((resolve) => { setImmediate(resolve) })
@@ -29,7 +29,7 @@
     let now = 0
     const link = createLinkPacer.createLinkPacer(RATE, () => now)
     now = 100_000
-    link.spend(1000)
+    link.countCallBytes(1000)
     assert.ok(link.backlogMs() > 900)
   })
 })
--- a/packages/transfer/src/createOriginPolicy/index.ts
+++ b/packages/transfer/src/createOriginPolicy/index.ts
@@ -9,7 +9,7 @@
  */
 export function createOriginPolicy (startedAt: number): transfer.TransferPolicy {
   return {
-    prefersRare: false,
+    rarestFirst: false,
     originReadAt: () => startedAt,
     readsOrigin: () => true,
     isImporter: () => true,
--- a/packages/transfer/src/createSwarmPolicy/index.ts
+++ b/packages/transfer/src/createSwarmPolicy/index.ts
@@ -9,7 +9,7 @@
   /** Nodes that hold or are to hold the version, this one included; unreachable nodes of a data hall that is cut off still count. */
   readonly holders: readonly transfer.Peer[]
   /** Data halls that share one copy from the origin, this node's hall included. */
-  readonly group: ReadonlySet<types.DataHallId>
+  readonly originGroup: ReadonlySet<types.DataHallId>
   readonly manifestDigest: types.Digest
   readonly chunkBytes: number
   /** Bytes per second that this group may read from the origin. */
@@ -19,7 +19,7 @@
   /** Milliseconds after which the next node in order queries the provider of an overdue chunk; 3000 by default. */
   readonly takeOverDelayMs?: number
   /** Whether the origin allowance permits reading again what an unreachable provider may have read already; true if not given. */
-  readonly mayReadAgain?: (provider: types.NodeId) => boolean
+  readonly mayRereadOrigin?: (provider: types.NodeId) => boolean
 }
 
 const DEFAULT_TAKE_OVER_DELAY_MS = 3000
@@ -35,7 +35,7 @@
 export function createSwarmPolicy (options: SwarmOptions): transfer.TransferPolicy {
   const { self, manifestDigest, startedAt } = options
   const takeOverDelayMs = options.takeOverDelayMs ?? DEFAULT_TAKE_OVER_DELAY_MS
-  const groupMembers = options.holders.filter((peer) => options.group.has(peer.dataHall))
+  const groupMembers = options.holders.filter((peer) => options.originGroup.has(peer.dataHall))
   const hallMembers = groupMembers.filter((peer) => peer.dataHall === self.dataHall)
   const hallRanks = new Map<number, readonly transfer.Peer[]>()
   const readers = new Map<number, transfer.Peer | undefined>()
@@ -95,7 +95,7 @@
   }
 
   return {
-    prefersRare: true,
+    rarestFirst: true,
     originReadAt,
     readsOrigin,
     findAnnounceTargets,
@@ -104,7 +104,7 @@
     findImporter: (chunk) => isImporter(chunk) ? null : rankHall(chunk)[0]?.node ?? null,
     requestScopeOf: (peer) => peer.dataHall === self.dataHall ? 'everything' : 'imported',
     takeOver: (chunk, provider) => {
-      if (options.mayReadAgain?.(provider) === false) return false
+      if (options.mayRereadOrigin?.(provider) === false) return false
       released.delete(chunk)
       takenOver.add(chunk)
       return true
--- a/packages/transfer/src/createTransfer/index.ts
+++ b/packages/transfer/src/createTransferManager/index.ts
@@ -30,7 +30,7 @@
   /** Maximum number of open requests of all downloads. */
   readonly requestsInFlight: number
   /** Maximum number of open requests of a download to one peer. */
-  readonly perPeer: number
+  readonly requestsPerPeer: number
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
   /** Random number from 0 to 1. */
@@ -57,7 +57,7 @@
 }
 
 /** Manages the transfers of a node. */
-export interface Transfer {
+export interface TransferManager {
   /** Replaces the wanted versions, highest priority first; downloads of versions no longer wanted stop at once. */
   readonly setWanted: (wanted: readonly WantedVersion[]) => void
   /** Records the bitmap that a node sent, in base64. */
@@ -67,7 +67,7 @@
   /** Returns a few nodes known to hold a chunk. */
   readonly findHolders: (digest: types.Digest, chunk: number) => readonly types.NodeId[]
   /** Answers the query of another node for the state of a chunk; `successor` is the node that would take it over, if any. */
-  readonly answerProvider: (digest: types.Digest, chunk: number, successor: types.NodeId | null) => transfer.ProviderAnswer
+  readonly answerProviderQuery: (digest: types.Digest, chunk: number, successor: types.NodeId | null) => transfer.ProviderAnswer
   readonly progress: () => readonly TransferProgress[]
   /** Number of open requests of all downloads. */
   readonly openRequests: () => number
@@ -97,7 +97,7 @@
  * @param options - Store, requests and limits.
  * @returns The manager; it fetches nothing until a version is wanted.
  */
-export function createTransfer (options: TransferOptions): Transfer {
+export function createTransferManager (options: TransferOptions): TransferManager {
   const active = new Map<types.Digest, ActiveTransfer>()
   let requestWindow = MINIMUM_WINDOW
   let ticks = 0
@@ -145,7 +145,7 @@
       source: entry.wanted.source,
       requests: options.requests,
       downlink: options.downlink,
-      requestsPerPeer: options.perPeer,
+      requestsPerPeer: options.requestsPerPeer,
       now: options.now,
       random: options.random,
       onRefused: () => { requestWindow = Math.max(MINIMUM_WINDOW, requestWindow * WINDOW_DECREASE) },
@@ -227,7 +227,7 @@
   return {
     setWanted,
     openRequests: countOpenRequests,
-    answerProvider: answerProviderQuery,
+    answerProviderQuery,
     progress,
     noteHave: (digest, node, have) => {
       const entry = active.get(digest)
--- a/packages/transfer/src/createTransfer/test.ts
+++ b/packages/transfer/src/createTransferManager/test.ts
@@ -24,7 +24,7 @@
   readonly name: string
   readonly hall: string
   readonly store: transfer.ChunkStore
-  readonly transfers: transfer.Transfer
+  readonly transfers: transfer.TransferManager
   completed: number
 }
 
@@ -100,7 +100,7 @@
       return { report, outcome: types.succeed(faults.corrupting.has(peer.node) ? Buffer.from('wrong!!!') : bytes) }
     },
     announce: (peer, digest, have) => { if (!faults.unreachable.has(self.node) && !faults.withoutAnnouncements.has(peer.node)) nodes.get(peer.node)?.transfers.noteHave(digest, self.node, have) },
-    askProvider: async (peer, digest, chunk, wouldTakeOver) => faults.unreachable.has(peer.node) ? 'unreachable' : nodes.get(peer.node)?.transfers.answerProvider(digest, chunk, wouldTakeOver ? self.node : null) ?? 'unreachable'
+    queryProvider: async (peer, digest, chunk, wouldTakeOver) => faults.unreachable.has(peer.node) ? 'unreachable' : nodes.get(peer.node)?.transfers.answerProviderQuery(digest, chunk, wouldTakeOver ? self.node : null) ?? 'unreachable'
   })
 
   for (const self of peers) {
@@ -110,12 +110,12 @@
       hall: self.dataHall,
       store,
       completed: 0,
-      transfers: transfer.createTransfer({
+      transfers: transfer.createTransferManager({
         store,
         requests: createRequests(self),
         downlink: transfer.createLinkPacer(0, now),
         requestsInFlight: 4,
-        perPeer: 2,
+        requestsPerPeer: 2,
         now,
         random,
         onComplete: () => { node.completed += 1 },
@@ -135,7 +135,7 @@
         peers: holders.filter((peer) => peer !== self),
         signature: names.join(),
         createPolicy: (manifest, startedAt) => transfer.createSwarmPolicy({
-          self, holders, group: new Set(peers.map((peer) => peer.dataHall)), manifestDigest: version.digest, chunkBytes: manifest.chunkBytes, originBytesPerSecond: 400, startedAt
+          self, holders, originGroup: new Set(peers.map((peer) => peer.dataHall)), manifestDigest: version.digest, chunkBytes: manifest.chunkBytes, originBytesPerSecond: 400, startedAt
         })
       }])
     }
@@ -157,7 +157,7 @@
   return swarm.nodes.filter((node) => !except.includes(node.name)).every((node) => node.store.find(version.digest)?.isComplete() === true)
 }
 
-test.describe('createTransfer', () => {
+test.describe('createTransferManager', () => {
   test.it('brings one copy from the origin to all nodes', async (context) => {
     const version = await createVersion(createText('x', 40))
     const swarm = createSwarm(context, HALLS, [version])
--- a/packages/transfer/src/createTreePolicy/index.ts
+++ b/packages/transfer/src/createTreePolicy/index.ts
@@ -27,7 +27,7 @@
   const firstChild = position * options.children + 1
   const children = ranked.slice(firstChild, firstChild + options.children).map((peer) => peer.node)
   return {
-    prefersRare: false,
+    rarestFirst: false,
     originReadAt: () => options.startedAt,
     readsOrigin: () => position === 0,
     isImporter: () => true,
--- a/packages/transfer/src/createUploader/index.ts
+++ b/packages/transfer/src/createUploader/index.ts
@@ -90,7 +90,7 @@
   async function sendBytes (context: Koa.Context, holding: createChunkStore.Holding, chunk: number, bytes: Buffer): Promise<void> {
     const isWanted = await waitForTurn(context, holding.manifest.chunks.length)
     if (!isWanted) return
-    await options.uplink.take(bytes.length)
+    await options.uplink.waitToSend(bytes.length)
     sending -= 1
     startNext()
     context.set(fetchChunk.HAVE_HEADER, bitmaps.encodeBitmap(holding.bitmap))
--- a/packages/transfer/src/types/index.ts
+++ b/packages/transfer/src/types/index.ts
@@ -41,7 +41,7 @@
 /** Decides which node fetches which chunk from where. The swarm and the baselines differ only in their policy. */
 export interface TransferPolicy {
   /** Whether chunks that few known peers hold are requested first. */
-  readonly prefersRare: boolean
+  readonly rarestFirst: boolean
   /** Monotonic time in milliseconds from which the chunk may be read from the origin; increases with the chunk's number. */
   readonly originReadAt: (chunk: number) => number
   /** Whether this node reads the chunk from the origin. */
