--- a/packages/command-line/src/auditCommand/index.ts
+++ b/packages/command-line/src/auditCommand/index.ts
@@ -49,7 +49,7 @@
 function matchesFilters (entry: types.AuditEntry, options: AuditArguments): boolean {
   if (options.editor !== undefined && entry.editor !== options.editor) return false
   if (options.row === undefined) return true
-  const place = tables.parseRowPlace(options.row)
+  const place = tables.parseRowReference(options.row)
   return place.ok && entry.changes.some((change) => change.section === place.value.section && change.row === place.value.row)
 }
 
--- a/packages/command-line/src/tableCommands/index.ts
+++ b/packages/command-line/src/tableCommands/index.ts
@@ -100,11 +100,11 @@
 }
 
 async function makeCellChanges (table: types.Table, rowText: string, cells: readonly string[], origin: string | undefined): Promise<types.Outcome<readonly types.CellChange[], Error>> {
-  const place = tables.parseRowPlace(rowText)
+  const place = tables.parseRowReference(rowText)
   if (!place.ok) return place
   const pinned = await pinManifest(place.value.section, cells, origin)
   if (!pinned.ok) return pinned
-  return tables.parseCells(table, place.value, pinned.value)
+  return tables.parseAssignments(table, place.value, pinned.value)
 }
 
 /** Adds the digest and size from the manifest at the origin when a source is set without a manifest and the origin is known. */
@@ -124,7 +124,7 @@
 }
 
 function makeRemoval (rowText: string): types.Outcome<readonly types.CellChange[], Error> {
-  const place = tables.parseRowPlace(rowText)
+  const place = tables.parseRowReference(rowText)
   return place.ok ? types.succeed([tables.removeRow(place.value)]) : place
 }
 
--- a/packages/daemon/src/_lib/fetchWithIdleTimeout.test.ts
+++ b/packages/daemon/src/_lib/fetchWithIdleTimeout.test.ts
@@ -42,13 +42,13 @@
   })
 }
 
-async function fetchFrom (context: nodeTest.TestContext, base: string, idleTimeoutMs: number): Promise<types.Outcome<rpc.WholeAnswer, types.UnavailableError>> {
+async function fetchFrom (context: nodeTest.TestContext, base: string, idleTimeoutMs: number): Promise<types.Outcome<rpc.BufferedResponse, types.UnavailableError>> {
   const agents = rpc.createHttpAgents()
   context.after(() => { agents.destroy() })
   return await fetchWithIdleTimeout.fetchWithIdleTimeout(agents, { base, path: '/', method: 'GET', headers: {} }, idleTimeoutMs)
 }
 
-async function fetchFromSlowServer (context: nodeTest.TestContext, sentParts: number): Promise<types.Outcome<rpc.WholeAnswer, types.UnavailableError>> {
+async function fetchFromSlowServer (context: nodeTest.TestContext, sentParts: number): Promise<types.Outcome<rpc.BufferedResponse, types.UnavailableError>> {
   return await fetchFrom(context, await startSlowServer(context, sentParts), IDLE_TIMEOUT_MS)
 }
 
@@ -80,7 +80,7 @@
     response.write('x')
     hasBegun = true
   })
-  let answer: types.Outcome<rpc.WholeAnswer, types.UnavailableError> | null = null
+  let answer: types.Outcome<rpc.BufferedResponse, types.UnavailableError> | null = null
   void fetchFrom(context, base, 2 * FETCH_TIMEOUT_MS).then((outcome) => { answer = outcome })
   await waitUntil(() => hasBegun)
   context.mock.timers.tick(FETCH_TIMEOUT_MS + 1)
--- a/packages/daemon/src/_lib/fetchWithIdleTimeout.ts
+++ b/packages/daemon/src/_lib/fetchWithIdleTimeout.ts
@@ -16,6 +16,6 @@
  * @param idleTimeoutMs - Milliseconds without a received byte after which the request is aborted.
  * @returns Status, headers and body, or the failure.
  */
-export async function fetchWithIdleTimeout (agents: rpc.HttpAgents, request: Omit<rpc.OutgoingRequest, 'timeoutMs' | 'quietMs' | 'firstByteMs' | 'signal'>, idleTimeoutMs: number): Promise<types.Outcome<rpc.WholeAnswer, types.UnavailableError>> {
-  return await rpc.sendRequest(agents, { ...request, quietMs: idleTimeoutMs, timeoutMs: FETCH_TIMEOUT_MS }, MAXIMUM_FETCH_BYTES)
+export async function fetchWithIdleTimeout (agents: rpc.HttpAgents, request: Omit<rpc.OutgoingRequest, 'timeoutMs' | 'idleTimeoutMs' | 'firstByteTimeoutMs' | 'signal'>, idleTimeoutMs: number): Promise<types.Outcome<rpc.BufferedResponse, types.UnavailableError>> {
+  return await rpc.sendRequest(agents, { ...request, idleTimeoutMs, timeoutMs: FETCH_TIMEOUT_MS }, MAXIMUM_FETCH_BYTES)
 }
--- a/packages/daemon/src/_lib/findByLife.ts
+++ b/packages/daemon/src/_lib/findByLife.ts
@@ -9,6 +9,6 @@
  * @param life - The instance identifier.
  * @returns The backend server; undefined if it is not listed, or is listed with another start time.
  */
-export function findByLife (backEnds: readonly gateway.BackEnd[], life: types.BackEndLife): gateway.BackEnd | undefined {
-  return backEnds.find(({ id, bornAt }) => types.formatLife(id, bornAt) === life)
+export function findByLife (backEnds: readonly gateway.BackEnd[], life: types.BackEndInstanceId): gateway.BackEnd | undefined {
+  return backEnds.find(({ id, bornAt }) => types.formatBackEndInstanceId(id, bornAt) === life)
 }
--- a/packages/daemon/src/_lib/quarantineFacts.test.ts
+++ b/packages/daemon/src/_lib/quarantineFacts.test.ts
@@ -7,8 +7,8 @@
 
 const CALL = types.brandId<quarantine.CallFingerprint>('3w5e11264sg0')
 const FACTS: readonly quarantineFacts.QuarantineFact[] = [
-  { kind: 'end', life: types.formatLife(types.brandId('i-1'), null), calls: [CALL] },
-  { kind: 'end', life: types.formatLife(types.brandId('i-1'), 1_790_000_000_000), calls: Array.from({ length: quarantineFacts.MAXIMUM_CALLS_PER_FACT }, () => CALL) },
+  { kind: 'end', life: types.formatBackEndInstanceId(types.brandId('i-1'), null), calls: [CALL] },
+  { kind: 'end', life: types.formatBackEndInstanceId(types.brandId('i-1'), 1_790_000_000_000), calls: Array.from({ length: quarantineFacts.MAXIMUM_CALLS_PER_FACT }, () => CALL) },
   { kind: 'served', call: CALL },
   { kind: 'block', call: CALL, count: 2 }
 ]
@@ -18,7 +18,7 @@
 })
 
 nodeTest.test('process instances of the same backend server have different identifiers', () => {
-  assert.notEqual(types.formatLife(types.brandId('i-1'), 1), types.formatLife(types.brandId('i-1'), 2))
+  assert.notEqual(types.formatBackEndInstanceId(types.brandId('i-1'), 1), types.formatBackEndInstanceId(types.brandId('i-1'), 2))
 })
 
 nodeTest.test('malformed facts decode to null', () => {
--- a/packages/daemon/src/_lib/quarantineFacts.ts
+++ b/packages/daemon/src/_lib/quarantineFacts.ts
@@ -5,7 +5,7 @@
 /** A fact about the quarantine. */
 export type QuarantineFact =
   /** A backend server terminated while it ran these calls of the gateway that shares the fact. */
-  | { readonly kind: 'end', readonly life: types.BackEndLife, readonly calls: readonly quarantine.CallFingerprint[] }
+  | { readonly kind: 'end', readonly life: types.BackEndInstanceId, readonly calls: readonly quarantine.CallFingerprint[] }
   /** A suspected call was answered completely. */
   | { readonly kind: 'served', readonly call: quarantine.CallFingerprint }
   /** A call was blocked; `count` is the number of times that it has been blocked, from 1. */
@@ -35,7 +35,7 @@
 }
 
 function parseEnd ([life, ...calls]: readonly unknown[]): QuarantineFact | null {
-  if (!types.isLife(life)) return null
+  if (!types.isBackEndInstanceId(life)) return null
   if (calls.length === 0 || calls.length > MAXIMUM_CALLS_PER_FACT || !calls.every(quarantine.isFingerprint)) return null
   return { kind: 'end', life, calls }
 }
--- a/packages/daemon/src/_lib/rateLimitFacts.test.ts
+++ b/packages/daemon/src/_lib/rateLimitFacts.test.ts
@@ -3,7 +3,7 @@
 import * as types from '@switchridge/types'
 import * as rateLimitFacts from './rateLimitFacts.js'
 
-const LIFE = types.formatLife(types.brandId('i-1'), 1_790_000_000_000)
+const LIFE = types.formatBackEndInstanceId(types.brandId('i-1'), 1_790_000_000_000)
 
 nodeTest.test('limits are decoded as they were encoded', () => {
   for (const perSecond of [0.5, 20, null]) {
--- a/packages/daemon/src/_lib/rateLimitFacts.ts
+++ b/packages/daemon/src/_lib/rateLimitFacts.ts
@@ -24,7 +24,7 @@
  * @returns The limit, or null if the fact is malformed.
  */
 export function parseFact ([, life, perSecond]: readonly unknown[], madeAt: number): rateLimits.RateLimit | null {
-  if (!types.isLife(life)) return null
+  if (!types.isBackEndInstanceId(life)) return null
   if (typeof perSecond !== 'number' || !Number.isFinite(perSecond) || perSecond < 0) return null
   return { life, perSecond: perSecond === ENDED_RATE ? null : perSecond, receivedAt: madeAt }
 }
--- a/packages/daemon/src/_lib/simulatedFleet.ts
+++ b/packages/daemon/src/_lib/simulatedFleet.ts
@@ -95,7 +95,7 @@
  * would complete independently of the mocked timers. Copies of the same part hold the same value objects from the store, so the size of an
  * answer is computed once for the whole fleet.
  */
-function createSizeCache (): (changes: store.CopyChanges, part: copyParts.CopyPart) => number {
+function createSizeCache (): (changes: store.MirrorChanges, part: copyParts.CopyPart) => number {
   const valueIds = new WeakMap<object, number>()
   const sizes = new Map<string, number>()
   let count = 0
--- a/packages/daemon/src/createBackEndState/index.ts
+++ b/packages/daemon/src/createBackEndState/index.ts
@@ -14,7 +14,7 @@
 /** Tracks the process instances of the back end beside one daemon. */
 export interface BackEndState {
   /** Probes the back end; resolves to the process instance that terminated, or null while the back end runs or its state is unknown. */
-  readonly findTerminatedInstance: () => Promise<types.BackEndLife | null>
+  readonly findTerminatedInstance: () => Promise<types.BackEndInstanceId | null>
   /** Records an answer of the back end: a later termination is that of another process instance. */
   readonly noteAnswer: () => void
 }
@@ -41,7 +41,7 @@
       if (quarantine.classifyLostAttempt({ isClosedByPeer: true, isLeaving: false, probe }) !== 'ended') return null
       if (!hasTerminated) terminations += 1
       hasTerminated = true
-      return types.brandId<types.BackEndLife>(`${options.name}/${terminations}`)
+      return types.brandId<types.BackEndInstanceId>(`${options.name}/${terminations}`)
     }
   }
 }
--- a/packages/daemon/src/createCallQuarantine/index.ts
+++ b/packages/daemon/src/createCallQuarantine/index.ts
@@ -35,11 +35,11 @@
  */
 export function createCallQuarantine (options: CallQuarantineOptions): CallQuarantine {
   const { book, count, now } = options
-  const probes = new Map<types.BackEndLife, CachedProbe>()
+  const probes = new Map<types.BackEndInstanceId, CachedProbe>()
   const shared = createSharedQuarantine.createSharedQuarantine({ ...options, onReportedEnd: handleReportedEnd })
 
   /** Opens one connection for all calls that are lost with the same back end. */
-  async function probe (life: types.BackEndLife, address: types.Address): Promise<quarantine.ProbeResult> {
+  async function probe (life: types.BackEndInstanceId, address: types.Address): Promise<quarantine.ProbeResult> {
     const cached = probes.get(life)
     if (cached !== undefined && now() - cached.at < PROBE_CACHE_MS) return await cached.result
     for (const [other, { at }] of probes) if (now() - at >= PROBE_CACHE_MS) probes.delete(other)
@@ -55,7 +55,7 @@
 
   async function noteCut (backEnd: gateway.BackEnd, call: quarantine.CallFingerprint): Promise<void> {
     if (!options.settings.enabled) return
-    const life = types.formatLife(backEnd.id, backEnd.bornAt)
+    const life = types.formatBackEndInstanceId(backEnd.id, backEnd.bornAt)
     const wasLeaving = isLeaving(backEnd)
     const verdict = quarantine.classifyLostAttempt({ isClosedByPeer: true, isLeaving: wasLeaving, probe: await probe(life, backEnd.address) })
     count('calls_lost', { verdict })
@@ -65,7 +65,7 @@
   }
 
   /** A peer's report makes a back end a worse choice; only this gateway's own probe excludes it. */
-  function handleReportedEnd (life: types.BackEndLife, at: number): void {
+  function handleReportedEnd (life: types.BackEndInstanceId, at: number): void {
     if (now() - at > RECENT_END_MS) return
     const ended = findByLife.findByLife(options.backEnds(), life)
     if (ended !== undefined) book.noteFailure(ended.id)
--- a/packages/daemon/src/createCommonParts/index.ts
+++ b/packages/daemon/src/createCommonParts/index.ts
@@ -20,9 +20,9 @@
   readonly agents: rpc.HttpAgents
   readonly client: rpc.RpcClient
   /** Counts exchanges with other daemons, to check the control traffic against its budget. */
-  readonly traffic: rpc.Traffic
+  readonly traffic: rpc.TrafficCounters
   readonly logger: observability.Logger
-  readonly metrics: observability.Metrics
+  readonly metrics: observability.StatsdMetrics
   readonly view: membership.MemberView
   readonly keeper: createTableKeeper.TableKeeper
   readonly loads: routing.BackendLoads
@@ -56,7 +56,7 @@
   const { now } = steadyClock
   steadyClock.onSuspension(({ lostMs }) => { logger.warn('suspended', { lostMs: Math.round(lostMs) }) })
   const platformCalls: Record<string, number> = {}
-  const traffic: rpc.Traffic = { exchanges: 0, bytes: 0 }
+  const traffic: rpc.TrafficCounters = { exchanges: 0, bytes: 0 }
   const view: membership.MemberView = membership.createMemberView({
     now,
     silenceLimit: () => membership.computeSilenceLimit(view.members().filter(({ facts }) => facts.dataHall === checked.data_hall).length)
@@ -73,7 +73,7 @@
     client: rpc.createRpcClient(identity, agents, traffic),
     traffic,
     logger,
-    metrics: observability.createMetrics({
+    metrics: observability.createStatsdMetrics({
       ...checked.metrics,
       tags: { node: checked.node, hall: checked.data_hall, role: checked.role }
     }),
--- a/packages/daemon/src/createCopyAnswers/index.ts
+++ b/packages/daemon/src/createCopyAnswers/index.ts
@@ -47,7 +47,7 @@
   async function answer (kind: string, part: string, since: number): Promise<Buffer | null> {
     const mirror = options.mirrors.find((each) => each.kind === kind)
     const isCopyPart = part === 'whole' || part === 'services'
-    if (mirror === undefined || !isCopyPart || !mirror.isKnown() || !copyParts.includesPart(copyParts.partForRole(kind, options.role), part)) return null
+    if (mirror === undefined || !isCopyPart || !mirror.isInitialized() || !copyParts.includesPart(copyParts.partForRole(kind, options.role), part)) return null
     const changes = mirror.changesSince(since)
     const key = JSON.stringify([kind, part, changes.since, changes.digest])
     const existing = cache.get(key)
--- a/packages/daemon/src/createEntryCalls/index.ts
+++ b/packages/daemon/src/createEntryCalls/index.ts
@@ -24,7 +24,7 @@
   readonly claims: createClaims.Claims
   readonly send: (call: sendAttempt.OutgoingCall, backend: types.MemberFacts, signal: AbortSignal) => Promise<sendAttempt.AttemptResult>
   readonly logger: observability.Logger
-  readonly metrics: observability.Metrics
+  readonly metrics: observability.StatsdMetrics
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
   /** Schedules an action at a time of the clock. */
--- a/packages/daemon/src/createEntryQuarantine/index.ts
+++ b/packages/daemon/src/createEntryQuarantine/index.ts
@@ -93,7 +93,7 @@
     const verdict = !response.ok ? 'unknown' : response.value === null ? 'lives' : 'ended'
     count('calls_lost', { verdict })
     if (!response.ok || typeof response.value !== 'string') return
-    shared.noteEnd({ life: types.brandId<types.BackEndLife>(response.value), name: backend.node, service: backend.service }, call)
+    shared.noteEnd({ life: types.brandId<types.BackEndInstanceId>(response.value), name: backend.node, service: backend.service }, call)
   }
 
   return {
--- a/packages/daemon/src/createFleetExchange/index.ts
+++ b/packages/daemon/src/createFleetExchange/index.ts
@@ -50,7 +50,7 @@
  */
 export async function createFleetExchange (options: FleetExchangeOptions): Promise<FleetExchange> {
   const { parts } = options
-  const keptMirrors = new Map<string, store.KeptMirror>()
+  const keptMirrors = new Map<string, store.MirrorSync>()
   /** Null until the socket is open; no peers are known before that. */
   let openedGossip: spread.Gossip | null = null
   const { role, zone } = parts.settings
@@ -122,7 +122,7 @@
     now: parts.now
   })
   openedGossip = gossip
-  parts.clock.onSuspension(() => { for (const mirror of keptMirrors.values()) mirror.restart() })
+  parts.clock.onSuspension(() => { for (const mirror of keptMirrors.values()) mirror.restartWatch() })
 
   function recordAdoptedCopy (kind: string, { host, changes, bytes, isOwnHall }: spread.AdoptedCopy): void {
     parts.metrics.count('copies_bytes', { kind, hall: formatHallLabel(isOwnHall) }, bytes)
@@ -134,14 +134,14 @@
   }
 
   function keepMirror (mirror: store.Mirror, collections: store.CollectionStore): void {
-    keptMirrors.set(mirror.kind, store.keepMirror({
+    keptMirrors.set(mirror.kind, store.syncMirror({
       mirror,
       store: collections,
       waitMs: computeWatchTimeoutMs(parts.settings),
       random: options.random,
-      mayWatch: () => watchDuty.mayWatch(mirror.isKnown(), keptMirrors.get(mirror.kind)?.isReachable() ?? true, mirror.kind === platform.KINDS.configuration ? 'each-hall' : 'few-halls'),
-      nextChance: async () => { await new Promise<void>((resolve) => { pendingWakes.push(resolve) }) },
-      onReachable: (isReachable, reason) => { parts.logger.warn(isReachable ? 'store-regained' : 'store-lost', { kind: mirror.kind, reason }) }
+      mayWatch: () => watchDuty.mayWatch(mirror.isInitialized(), keptMirrors.get(mirror.kind)?.isReachable() ?? true, mirror.kind === platform.KINDS.configuration ? 'each-hall' : 'few-halls'),
+      mayWatchChanged: async () => { await new Promise<void>((resolve) => { pendingWakes.push(resolve) }) },
+      onReachabilityChange: (isReachable, reason) => { parts.logger.warn(isReachable ? 'store-regained' : 'store-lost', { kind: mirror.kind, reason }) }
     }))
     mirror.onChange(() => { gossip.sendNow() })
   }
--- a/packages/daemon/src/createFleetParts/index.ts
+++ b/packages/daemon/src/createFleetParts/index.ts
@@ -20,7 +20,7 @@
 export interface FleetParts {
   readonly settings: settings.FleetSettings
   readonly logger: observability.Logger
-  readonly metrics: observability.TextMetrics
+  readonly metrics: observability.PrometheusMetrics
   readonly agents: rpc.HttpAgents
   readonly identity: rpc.Identity
   /** The configuration in force, or null before the first one. */
@@ -75,7 +75,7 @@
  * @returns The parts.
  */
 export function createFleetParts (checked: settings.FleetSettings, environment = PROCESS_ENVIRONMENT): FleetParts {
-  const metrics = observability.createTextMetrics({ node: checked.node, zone: checked.zone, role: checked.role })
+  const metrics = observability.createPrometheusMetrics({ node: checked.node, zone: checked.zone, role: checked.role })
   const logger = observability.createLogger('daemon', { node: checked.node, zone: checked.zone }, { level: checked.logs.level, write: environment.writeLine })
   const agents = rpc.createHttpAgents()
   const identity = { deployment: checked.deployment, sharedKey: checked.security.shared_key ?? '' }
@@ -175,10 +175,10 @@
       return models.length === 1 ? models[0] as string : null
     },
     backEndAt: backEnds.at,
-    areBackEndsKnown: backEndObjects.isKnown,
+    areBackEndsKnown: backEndObjects.isInitialized,
     onBackEnds: (listener) => { backEndObjects.onChange(listener) },
     versions,
-    areVersionsKnown: namedVersions.isKnown,
+    areVersionsKnown: namedVersions.isInitialized,
     onVersions: (listener) => { namedVersions.onChange(listener) },
     mirrors: checked.role === 'gateway' ? [configurations, backEndObjects, namedVersions] : [configurations, namedVersions],
     clock: steadyClock,
@@ -223,7 +223,7 @@
       path: copyParts.formatCopyPath(request.kind, part, request.since),
       method: 'GET',
       headers: rpc.createIdentityHeaders(parts.identity),
-      quietMs: COPY_IDLE_TIMEOUT_MS,
+      idleTimeoutMs: COPY_IDLE_TIMEOUT_MS,
       timeoutMs: COPY_TIMEOUT_MS,
       signal
     }, readCopyAnswer.MAXIMUM_COPY_BYTES)
--- a/packages/daemon/src/createRateLimiter/index.ts
+++ b/packages/daemon/src/createRateLimiter/index.ts
@@ -60,7 +60,7 @@
     logger.info('rate-limit', { life, change, before, after, source })
   }
 
-  function noteUnreadable (life: types.BackEndLife, text: string): void {
+  function noteUnreadable (life: types.BackEndInstanceId, text: string): void {
     count('rate_limits_unreadable')
     logger.warn('rate-limit-unreadable', { life, text })
   }
@@ -75,19 +75,19 @@
     return [{ node: types.brandId(node), host: ownHost, zone, role: 'gateway', isLeaving: options.isLeaving(), isLive: true }, ...others]
   }
 
-  function findCounter (life: types.BackEndLife): rateLimits.ChosenCounter | null {
+  function findCounter (life: types.BackEndInstanceId): rateLimits.ChosenCounter | null {
     const backEnd = findByLife.findByLife(backEnds(), life)
     return backEnd === undefined ? null : rateLimits.chooseCounter({ life, host: backEnd.address.host, zone: backEnd.zone }, listCandidates())
   }
 
   /** Returns the fraction of a limit for which this gateway may grant permits; null if another daemon counts them. */
-  function partOf (life: types.BackEndLife): number | null {
+  function partOf (life: types.BackEndInstanceId): number | null {
     const chosen = findCounter(life)
     return chosen?.host === ownHost ? chosen.part : null
   }
 
   function readLimit ({ id, bornAt }: gateway.BackEnd): rateLimits.RateLimit | null {
-    return record.read(types.formatLife(id, bornAt))
+    return record.read(types.formatBackEndInstanceId(id, bornAt))
   }
 
   async function acquire (backEnd: gateway.BackEnd, isLate: boolean): Promise<rateLimits.PermitDecision> {
@@ -109,10 +109,10 @@
       const limit = readLimit(backEnd)
       return limit === null || limit.perSecond === null ? null : { perSecond: limit.perSecond, waitMs: client.waitMs(limit.life, isLate) }
     },
-    noteResponse: ({ id, bornAt }, rate, sentAt) => { record.noteResponse(types.formatLife(id, bornAt), rate, sentAt) },
-    noteReportedLimit: ({ id, bornAt }, perSecond, heardAt) => { record.noteFromPeer({ life: types.formatLife(id, bornAt), perSecond, receivedAt: heardAt }) },
+    noteResponse: ({ id, bornAt }, rate, sentAt) => { record.noteResponse(types.formatBackEndInstanceId(id, bornAt), rate, sentAt) },
+    noteReportedLimit: ({ id, bornAt }, perSecond, heardAt) => { record.noteFromPeer({ life: types.formatBackEndInstanceId(id, bornAt), perSecond, receivedAt: heardAt }) },
     inForce: record.inForce,
-    removeUnlisted: () => { record.retainOnly(new Set(backEnds().map(({ id, bornAt }) => types.formatLife(id, bornAt)))) },
+    removeUnlisted: () => { record.retainOnly(new Set(backEnds().map(({ id, bornAt }) => types.formatBackEndInstanceId(id, bornAt)))) },
     noteFact: (content, madeAt) => {
       if (!rateLimitFacts.isFact(content)) return false
       const limit = rateLimitFacts.parseFact(content, madeAt)
--- a/packages/daemon/src/createSharedQuarantine/index.ts
+++ b/packages/daemon/src/createSharedQuarantine/index.ts
@@ -15,7 +15,7 @@
   /** Publishes a fact that was created `ageMs` milliseconds ago to all peers, which keep it until its age is `ttlMs`. */
   readonly publishFact: (content: unknown, ttlMs: number, ageMs: number) => void
   /** Called with terminations of back ends that peers observed, and their monotonic time in milliseconds. */
-  readonly onReportedEnd: (life: types.BackEndLife, at: number) => void
+  readonly onReportedEnd: (life: types.BackEndInstanceId, at: number) => void
   readonly logger: observability.Logger
   readonly count: (name: string, labels?: Readonly<Record<string, string>>) => void
   /** Monotonic clock in milliseconds. */
@@ -26,7 +26,7 @@
 
 /** A back end that terminated while it held calls of this daemon. */
 export interface EndedBackEnd {
-  readonly life: types.BackEndLife
+  readonly life: types.BackEndInstanceId
   /** Its name for log lines. */
   readonly name: string
   readonly service: types.ServiceName
@@ -102,7 +102,7 @@
   const limits = readLimits(options.settings)
   const listeners: Array<(call: quarantine.CallFingerprint) => void> = []
   /** Calls that this daemon lost, by terminated back end, until they are published. */
-  const lostCalls = new Map<types.BackEndLife, Set<quarantine.CallFingerprint>>()
+  const lostCalls = new Map<types.BackEndInstanceId, Set<quarantine.CallFingerprint>>()
   /** Origin of the evidence that is being recorded; read by the callbacks of the record. */
   let source: BlockSource = 'peer'
   const record = quarantine.createQuarantine({ limits, onBlocked: noteBlocked, onReleased: noteReleased, now })
@@ -123,7 +123,7 @@
     source = 'peer'
   }
 
-  function noteBlocked (block: quarantine.CallBlock, lives: readonly types.BackEndLife[]): void {
+  function noteBlocked (block: quarantine.CallBlock, lives: readonly types.BackEndInstanceId[]): void {
     const { fingerprint, count: times, since } = block
     const leftMs = since + quarantine.computeBlockMs(times, limits) - now()
     count('call_blocks', { source })
--- a/packages/daemon/src/describeStatus/index.ts
+++ b/packages/daemon/src/describeStatus/index.ts
@@ -14,7 +14,7 @@
   readonly load: routing.Load | null
   readonly counts: Readonly<Record<string, number>>
   readonly platformCalls: Readonly<Record<string, number>>
-  readonly traffic: rpc.Traffic
+  readonly traffic: rpc.TrafficCounters
   readonly process: ProcessUse
 }
 
--- a/packages/daemon/src/readCopyAnswer/index.ts
+++ b/packages/daemon/src/readCopyAnswer/index.ts
@@ -30,7 +30,7 @@
  * @param part - The part that this daemon needs; any other part is rejected.
  * @returns The changes, or the reason why they were rejected.
  */
-export async function readCopyAnswer (bytes: Buffer, request: spread.CopyRequest, part: copyParts.CopyPart): Promise<types.Outcome<store.CopyChanges, spread.InvalidCopyError>> {
+export async function readCopyAnswer (bytes: Buffer, request: spread.CopyRequest, part: copyParts.CopyPart): Promise<types.Outcome<store.MirrorChanges, spread.InvalidCopyError>> {
   try {
     const text = (await decompress(bytes, { maxOutputLength: MAXIMUM_COPY_BYTES })).toString()
     const parsed = answerSchema.safeParse(JSON.parse(text))
--- a/packages/daemon/src/startAgentRole/index.ts
+++ b/packages/daemon/src/startAgentRole/index.ts
@@ -152,7 +152,7 @@
       expectedZones: () => now() - startedAt < ZONE_DISCOVERY_MS ? checked.zones : [],
       fetchFromPeer: async (peer, id, wanted, mayRefer, { onHead, onBytes }) => {
         const headers = { [NODE_HEADER]: self.node, ...(mayRefer ? { [MAY_REFER_HEADER]: '1' } : {}) }
-        const fetched = await requestFromAgent(peer, `${PIECES_PATH}${encodeURIComponent(id.model)}/${id.version}/${wanted.join()}`, headers, { onHead, onBytes })
+        const fetched = await requestFromAgent(peer, `${PIECES_PATH}${encodeURIComponent(id.model)}/${id.version}/${wanted.join()}`, headers, { onHeaders: onHead, onBytes })
         if (!fetched.ok || fetched.value === null) return fetched.ok ? types.succeed(null) : fetched
         const piece = Number(fetched.value.headers[PIECE_HEADER])
         const holder = fetched.value.headers[HOLDER_HEADER]
@@ -211,7 +211,7 @@
   }
 
   /** Sends a GET request to another agent; null when it does not have what is requested. */
-  async function requestFromAgent (peer: staging.StagingPeer, path: string, headers: Readonly<Record<string, string>> = {}, receiver: Pick<rpc.OutgoingRequest, 'onHead' | 'onBytes'> = {}): Promise<types.Outcome<rpc.WholeAnswer | null, types.UnavailableError>> {
+  async function requestFromAgent (peer: staging.StagingPeer, path: string, headers: Readonly<Record<string, string>> = {}, receiver: Pick<rpc.OutgoingRequest, 'onHeaders' | 'onBytes'> = {}): Promise<types.Outcome<rpc.BufferedResponse | null, types.UnavailableError>> {
     const sent = await fetchWithIdleTimeout.fetchWithIdleTimeout(parts.agents, {
       base: `http://${peer.address.host}:${peer.address.port}`,
       path,
--- a/packages/daemon/src/startBackendRole/index.ts
+++ b/packages/daemon/src/startBackendRole/index.ts
@@ -127,7 +127,7 @@
       checksFences: backEnd.checks_fences,
       agents: parts.agents,
       lease: store.createLease(parts.store, `engine.${node}`, parts.incarnation, {
-        durationMs: LEASE_MS, marginMs: LEASE_MARGIN_MS, now: parts.now, takesOver: backEnd.checks_fences
+        durationMs: LEASE_MS, marginMs: LEASE_MARGIN_MS, now: parts.now, preemptsHolder: backEnd.checks_fences
       })
     }),
     logger,
--- a/packages/fuzz/src/_lib/callFleet.ts
+++ b/packages/fuzz/src/_lib/callFleet.ts
@@ -164,7 +164,7 @@
       return await daemon.sendAttempt(call, backend, { self: types.brandId<types.NodeId>(`entry-${index}`), identity: IDENTITY, agents, client, now, signal: breakableSignal })
     },
     logger: observability.createLogger('fuzz-calls', {}, { level: 'silent' }),
-    metrics: observability.createMetrics({ host: HOST, port: 8125, tags: {}, enabled: false }),
+    metrics: observability.createStatsdMetrics({ host: HOST, port: 8125, tags: {}, enabled: false }),
     now,
     at: scheduleAt,
     guard: INACTIVE_GUARD
--- a/packages/gateway/src/_lib/loadSimulation.ts
+++ b/packages/gateway/src/_lib/loadSimulation.ts
@@ -156,7 +156,7 @@
   /** Whether a call may be sent; requesting a permit takes no time in the simulation. */
   function isPermitted (from: SimulatedGateway, id: types.NodeId, isLate: boolean): boolean {
     if (!limit.isEnforced || !limited.has(id)) return true
-    const answer = counter.take({ life: types.formatLife(id, null), perSecond: limit.perSecond, receivedAt: 0 }, 1, isLate)
+    const answer = counter.take({ life: types.formatBackEndInstanceId(id, null), perSecond: limit.perSecond, receivedAt: 0 }, 1, isLate)
     if (!answer.isGranted && !isLate) from.permitExpectedAt.set(id, timeline.now() + answer.waitMs)
     return answer.isGranted
   }
--- a/packages/gateway/src/_lib/reservationWire.ts
+++ b/packages/gateway/src/_lib/reservationWire.ts
@@ -39,12 +39,12 @@
 
 /** Decodes a request; null if it is invalid. */
 export function decodeRequest (bytes: Buffer): ReservationRequest | null {
-  const [, number, promptTokens, withinMs] = types.parseJsonList(bytes)
-  return types.isCount(number) && types.isCount(promptTokens) && types.isCount(withinMs) ? { number, promptTokens, withinMs } : null
+  const [, number, promptTokens, withinMs] = types.parseJsonArray(bytes)
+  return types.isNonNegativeNumber(number) && types.isNonNegativeNumber(promptTokens) && types.isNonNegativeNumber(withinMs) ? { number, promptTokens, withinMs } : null
 }
 
 /** Decodes a reply; null if it is invalid. */
 export function decodeReply (bytes: Buffer): ReservationReply | null {
-  const [, number, reserved] = types.parseJsonList(bytes)
-  return types.isCount(number) && (reserved === 0 || reserved === 1) ? { number, isReserved: reserved === 1 } : null
+  const [, number, reserved] = types.parseJsonArray(bytes)
+  return types.isNonNegativeNumber(number) && (reserved === 0 || reserved === 1) ? { number, isReserved: reserved === 1 } : null
 }
--- a/packages/launcher/src/readMembers/index.ts
+++ b/packages/launcher/src/readMembers/index.ts
@@ -11,7 +11,7 @@
   readonly transfers: ReadonlyArray<{ readonly digest: string, readonly counts: Record<string, number> | null }>
   readonly counts: Record<string, number>
   readonly platformCalls: Record<string, number>
-  readonly traffic: rpc.Traffic
+  readonly traffic: rpc.TrafficCounters
   readonly process: { readonly cpuSeconds: number, readonly residentBytes: number, readonly peakResidentBytes: number, readonly uptimeSeconds: number }
 }
 
--- a/packages/measure/src/runBurst/index.ts
+++ b/packages/measure/src/runBurst/index.ts
@@ -29,7 +29,7 @@
 interface Trial {
   readonly nodes: number
   readonly policy: string
-  readonly favour: types.Favour
+  readonly favour: types.TransferPreference
   /** Fraction of the backend daemons that are killed during the rollout. */
   readonly dying: number
   readonly cutsHall: boolean
--- a/packages/observability/src/createTextMetrics/index.ts
+++ b/packages/observability/src/createPrometheusMetrics/index.ts
@@ -4,7 +4,7 @@
 export type MetricLabels = Readonly<Record<string, string>>
 
 /** Counters, gauges and histograms of one process. */
-export interface TextMetrics {
+export interface PrometheusMetrics {
   readonly count: (name: string, labels?: MetricLabels, amount?: number) => void
   /** Registers a gauge; `read` is called at each scrape. */
   readonly gauge: (name: string, read: () => number) => void
@@ -23,7 +23,7 @@
  * @param labels - Labels added to every metric.
  * @returns The metrics.
  */
-export function createTextMetrics (labels: MetricLabels): TextMetrics {
+export function createPrometheusMetrics (labels: MetricLabels): PrometheusMetrics {
   const registry = new promClient.Registry()
   registry.setDefaultLabels(labels)
   const counters = new Map<string, promClient.Counter>()
--- a/packages/observability/src/createMetrics/index.ts
+++ b/packages/observability/src/createStatsdMetrics/index.ts
@@ -2,7 +2,7 @@
 import * as hotShots from 'hot-shots'
 
 /** Counters, gauges and timings of one process. */
-export interface Metrics {
+export interface StatsdMetrics {
   readonly increment: (name: string, amount?: number) => void
   readonly gauge: (name: string, value: number) => void
   /** Records a duration in milliseconds. */
@@ -28,7 +28,7 @@
  * @param options - Address of the StatsD server and tags.
  * @returns The metrics; errors of sending are ignored.
  */
-export function createMetrics (options: StatsdOptions): Metrics {
+export function createStatsdMetrics (options: StatsdOptions): StatsdMetrics {
   const client = new hotShots.StatsD({
     host: options.host,
     port: options.port,
--- a/packages/observability/src/index.ts
+++ b/packages/observability/src/index.ts
@@ -1,4 +1,4 @@
 /** Structured logs and metrics of the daemons. */
 export * from './createLogger/index.js'
-export * from './createMetrics/index.js'
-export * from './createTextMetrics/index.js'
+export * from './createStatsdMetrics/index.js'
+export * from './createPrometheusMetrics/index.js'
--- a/packages/placement/src/computeOriginGroup/test.ts
+++ b/packages/placement/src/computeOriginGroup/test.ts
@@ -6,7 +6,7 @@
 
 const HALLS = ['a', 'b', 'c', 'd', 'e'].map((id) => types.brandId<types.DataHallId>(id))
 
-function makeRow (favour: types.Favour, originCopies: number): types.ModelRow {
+function makeRow (favour: types.TransferPreference, originCopies: number): types.ModelRow {
   return { favour, originCopies } as unknown as types.ModelRow
 }
 
@@ -18,7 +18,7 @@
 
   test.it('never lets the partitions of a split fleet read more copies than the row allows', () => {
     const partitions = fc.array(fc.integer({ min: 0, max: 4 }), { minLength: HALLS.length, maxLength: HALLS.length })
-    fc.assert(fc.property(partitions, fc.integer({ min: 1, max: 5 }), fc.constantFrom<types.Favour>('time', 'origin-bytes'), (partitionOfHall, copies, favour) => {
+    fc.assert(fc.property(partitions, fc.integer({ min: 1, max: 5 }), fc.constantFrom<types.TransferPreference>('time', 'origin-bytes'), (partitionOfHall, copies, favour) => {
       const groups = new Set(HALLS.map((own, index) => {
         const halls = HALLS.map((dataHall, other) => ({ dataHall, isReachable: partitionOfHall[other] === partitionOfHall[index] }))
         return computeOriginGroup.computeOriginGroup(makeRow(favour, copies), own, halls).join()
--- a/packages/quarantine/src/_lib/crashSimulation.ts
+++ b/packages/quarantine/src/_lib/crashSimulation.ts
@@ -148,7 +148,7 @@
 
   function terminate (engine: Engine, crashing: Call | null): void {
     const lost = [...engine.running]
-    const life = types.brandId<types.BackEndLife>(`i-${engine.life}`)
+    const life = types.brandId<types.BackEndInstanceId>(`i-${engine.life}`)
     counts[crashing === null ? 'endedOtherwise' : 'endedByCrashingCall'] += 1
     if (crashing !== null) crashTimes.set(crashing.fingerprint, [...crashTimes.get(crashing.fingerprint) ?? [], now()])
     engine.running = new Set()
--- a/packages/quarantine/src/createQuarantine/index.ts
+++ b/packages/quarantine/src/createQuarantine/index.ts
@@ -11,7 +11,7 @@
 export interface QuarantineOptions {
   readonly limits: quarantine.QuarantineLimits
   /** Called for each call that is blocked, with the back ends that ended while running it, as far as known. */
-  readonly onBlocked: (block: quarantine.CallBlock, lives: readonly types.BackEndLife[]) => void
+  readonly onBlocked: (block: quarantine.CallBlock, lives: readonly types.BackEndInstanceId[]) => void
   readonly onReleased: (block: quarantine.CallBlock, reason: ReleaseReason) => void
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
@@ -66,7 +66,7 @@
 export function createQuarantine (options: QuarantineOptions): Quarantine {
   const { limits, now } = options
   /** Oldest first. */
-  const ends = new Map<types.BackEndLife, quarantine.BackEndTermination>()
+  const ends = new Map<types.BackEndInstanceId, quarantine.BackEndTermination>()
   const endCounts = new Map<computeFingerprint.CallFingerprint, number>()
   const servedAt = new Map<computeFingerprint.CallFingerprint, number>()
   const blocks = new Map<computeFingerprint.CallFingerprint, quarantine.CallBlock>()
@@ -87,9 +87,9 @@
   }
 
   /** Returns the key of the stored end that a report describes, or an unused key with a suffix that distinguishes it from earlier ends under the same id. */
-  function findEndKey ({ life, at }: quarantine.BackEndTermination): types.BackEndLife {
+  function findEndKey ({ life, at }: quarantine.BackEndTermination): types.BackEndInstanceId {
     for (let repetition = 0; ; repetition += 1) {
-      const key = repetition === 0 ? life : types.brandId<types.BackEndLife>(`${life}~${repetition}`)
+      const key = repetition === 0 ? life : types.brandId<types.BackEndInstanceId>(`${life}~${repetition}`)
       const known = ends.get(key)
       if (known === undefined || Math.abs(known.at - at) <= SAME_END_MS) return key
     }
--- a/packages/quarantine/src/createQuarantine/test.ts
+++ b/packages/quarantine/src/createQuarantine/test.ts
@@ -40,7 +40,7 @@
     advance: (milliseconds) => { time += milliseconds },
     end: (...calls) => {
       lives += 1
-      record.noteEnd({ life: types.brandId<types.BackEndLife>(`i-${lives}`), at: time, calls: new Set(calls.map(fingerprint)) })
+      record.noteEnd({ life: types.brandId<types.BackEndInstanceId>(`i-${lives}`), at: time, calls: new Set(calls.map(fingerprint)) })
     }
   }
 }
@@ -59,7 +59,7 @@
 
 nodeTest.test('the same end reported by several gateways counts once', () => {
   const { quarantine: record, now } = createFixture()
-  const life = types.brandId<types.BackEndLife>('i-1')
+  const life = types.brandId<types.BackEndInstanceId>('i-1')
   for (const beside of ['a', 'b', 'c']) record.noteEnd({ life, at: now(), calls: new Set([CRASHING, fingerprint(beside)]) })
   assert.equal(record.readBlockedMs(CRASHING), null)
   assert.equal(record.countSuspects(), 4)
@@ -67,7 +67,7 @@
 
 nodeTest.test('a back end that restarts under the same id and ends again counts again', () => {
   const { quarantine: record, now, advance } = createFixture()
-  const life = types.brandId<types.BackEndLife>('i-1')
+  const life = types.brandId<types.BackEndInstanceId>('i-1')
   for (let index = 0; index < 3; index += 1) {
     for (const beside of ['a', 'b']) {
       record.noteEnd({ life, at: now(), calls: new Set([CRASHING, fingerprint(`${beside}-${index}`)]) })
@@ -110,7 +110,7 @@
 
 nodeTest.test('a block is lifted once another call explains the ends, even if that call is reported later', () => {
   const fixture = createFixture()
-  const lives = [1, 2, 3].map((index) => types.brandId<types.BackEndLife>(`i-shared-${index}`))
+  const lives = [1, 2, 3].map((index) => types.brandId<types.BackEndInstanceId>(`i-shared-${index}`))
   for (const life of lives) fixture.quarantine.noteEnd({ life, at: fixture.now(), calls: new Set([fingerprint('beside')]) })
   assert.notEqual(fixture.quarantine.readBlockedMs(fingerprint('beside')), null)
   fixture.end('crashing')
@@ -168,7 +168,7 @@
 function applyMessages (messages: readonly Message[]): string[] {
   const { quarantine: record } = createFixture()
   for (const each of messages) {
-    if (each.kind === 'end') record.noteEnd({ life: types.brandId<types.BackEndLife>(`i-${each.life}`), at: each.life, calls: new Set([fingerprint(each.call)]) })
+    if (each.kind === 'end') record.noteEnd({ life: types.brandId<types.BackEndInstanceId>(`i-${each.life}`), at: each.life, calls: new Set([fingerprint(each.call)]) })
     else record.noteServed(fingerprint(each.call), each.at)
   }
   return record.blocks().map(({ fingerprint: call }) => call).sort()
--- a/packages/quarantine/src/selectCallsToBlock/test.ts
+++ b/packages/quarantine/src/selectCallsToBlock/test.ts
@@ -14,7 +14,7 @@
 
 /** Creates ends one millisecond apart, each with the calls that were lost. */
 function createEnds (...calls: readonly string[][]): quarantine.BackEndTermination[] {
-  return calls.map((names, at) => ({ life: types.brandId<types.BackEndLife>(`i-${at}`), at: at + 1, calls: new Set(names.map(fingerprint)) }))
+  return calls.map((names, at) => ({ life: types.brandId<types.BackEndInstanceId>(`i-${at}`), at: at + 1, calls: new Set(names.map(fingerprint)) }))
 }
 
 function select (ends: readonly quarantine.BackEndTermination[], servedAt: Readonly<Record<string, number>> = {}): string[] {
--- a/packages/rate-limits/src/_lib/limitSimulation.ts
+++ b/packages/rate-limits/src/_lib/limitSimulation.ts
@@ -49,7 +49,7 @@
   readonly datagramsPerRequest: number
 }
 
-const LIFE = types.brandId<types.BackEndLife>('back-end')
+const LIFE = types.brandId<types.BackEndInstanceId>('back-end')
 const WINDOW_MS = 4000
 const STEP_MS = 1
 /** Shortest and longest one-way delay: within a data hall and between regions. */
--- a/packages/rate-limits/src/_lib/permitWire.ts
+++ b/packages/rate-limits/src/_lib/permitWire.ts
@@ -5,7 +5,7 @@
 export interface PermitRequest {
   /** Distinguishes the requests of one gateway, including those from before its last restart. */
   readonly requestId: number
-  readonly life: types.BackEndLife
+  readonly life: types.BackEndInstanceId
   /** The limit as the gateway knows it, and the milliseconds since it was received from the back end. */
   readonly perSecond: number
   readonly ageMs: number
@@ -45,14 +45,14 @@
 
 /** Decodes a permit request; returns null if it is malformed. */
 export function decodeRequest (bytes: Buffer): PermitRequest | null {
-  const [, requestId, life, perSecond, ageMs, late] = types.parseJsonList(bytes)
-  if (!types.isCount(requestId) || !types.isLife(life)) return null
-  if (!types.isCount(perSecond) || perSecond === 0 || !types.isCount(ageMs)) return null
+  const [, requestId, life, perSecond, ageMs, late] = types.parseJsonArray(bytes)
+  if (!types.isNonNegativeNumber(requestId) || !types.isBackEndInstanceId(life)) return null
+  if (!types.isNonNegativeNumber(perSecond) || perSecond === 0 || !types.isNonNegativeNumber(ageMs)) return null
   return { requestId, life, perSecond, ageMs, isLate: late === 1 }
 }
 
 /** Decodes a reply; returns null if it is malformed. */
 export function decodeReply (bytes: Buffer): PermitReply | null {
-  const [, requestId, waitMs] = types.parseJsonList(bytes)
-  return types.isCount(requestId) && types.isCount(waitMs) ? { requestId, waitMs } : null
+  const [, requestId, waitMs] = types.parseJsonArray(bytes)
+  return types.isNonNegativeNumber(requestId) && types.isNonNegativeNumber(waitMs) ? { requestId, waitMs } : null
 }
--- a/packages/rate-limits/src/_lib/rateShares.ts
+++ b/packages/rate-limits/src/_lib/rateShares.ts
@@ -13,7 +13,7 @@
  * @returns The permit source.
  */
 export function createRateShares (countGateways: () => number, now: () => number): rateLimits.PermitSource {
-  const buckets = new Map<types.BackEndLife, types.TokenBucket>()
+  const buckets = new Map<types.BackEndInstanceId, types.TokenBucket>()
 
   return {
     waitMs: (life) => buckets.get(life)?.waitMs() ?? 0,
--- a/packages/rate-limits/src/chooseCounter/index.ts
+++ b/packages/rate-limits/src/chooseCounter/index.ts
@@ -14,7 +14,7 @@
 
 /** The back end whose requests are counted. */
 export interface RateLimitedBackEnd {
-  readonly life: types.BackEndLife
+  readonly life: types.BackEndInstanceId
   readonly host: string
   readonly zone: string
 }
--- a/packages/rate-limits/src/createPermitClient/index.ts
+++ b/packages/rate-limits/src/createPermitClient/index.ts
@@ -10,7 +10,7 @@
   readonly ownHost: string
   /** Grants the permits of back ends whose counter is this daemon. */
   readonly counter: createPermitCounter.PermitCounter
-  readonly findCounter: (life: types.BackEndLife) => chooseCounter.ChosenCounter | null
+  readonly findCounter: (life: types.BackEndInstanceId) => chooseCounter.ChosenCounter | null
   readonly send: (host: string, bytes: Buffer) => void
   readonly count: (name: string, labels?: Readonly<Record<string, string>>) => void
   /** Runs an action at a monotonic time in milliseconds; returns a function that cancels it. */
@@ -55,13 +55,13 @@
 export function createPermitClient (options: PermitClientOptions): PermitClient {
   const { count, now } = options
   const pendingRequests = new Map<number, PendingRequest>()
-  const pendingLives = new Set<types.BackEndLife>()
-  const retryTimes = new Map<types.BackEndLife, number>()
+  const pendingLives = new Set<types.BackEndInstanceId>()
+  const retryTimes = new Map<types.BackEndInstanceId, number>()
   /** Kept apart for late calls: their refusals must not keep other calls from requesting permits. */
-  const lateRetryTimes = new Map<types.BackEndLife, number>()
+  const lateRetryTimes = new Map<types.BackEndInstanceId, number>()
   let lastRequestId = Math.floor(options.random() * REQUEST_ID_RANGE)
 
-  function recordDecision (life: types.BackEndLife, isLate: boolean, decision: rateLimits.PermitDecision): rateLimits.PermitDecision {
+  function recordDecision (life: types.BackEndInstanceId, isLate: boolean, decision: rateLimits.PermitDecision): rateLimits.PermitDecision {
     const times = isLate ? lateRetryTimes : retryTimes
     removePastTimes(times)
     if (!decision.isGranted) times.set(life, now() + decision.waitMs)
@@ -69,7 +69,7 @@
   }
 
   /** Removes past entries, since no further request would remove those of back ends that no longer run. */
-  function removePastTimes (times: Map<types.BackEndLife, number>): void {
+  function removePastTimes (times: Map<types.BackEndInstanceId, number>): void {
     for (const [life, retryAt] of times) if (retryAt <= now()) times.delete(life)
   }
 
--- a/packages/rate-limits/src/createPermitClient/test.ts
+++ b/packages/rate-limits/src/createPermitClient/test.ts
@@ -7,7 +7,7 @@
 import type * as rateLimits from '../types/index.js'
 import * as createPermitClient from './index.js'
 
-const LIFE = types.brandId<types.BackEndLife>('engine-1')
+const LIFE = types.brandId<types.BackEndInstanceId>('engine-1')
 const LIMIT: rateLimits.RateLimit = { life: LIFE, perSecond: 2, receivedAt: 0 }
 const OWN_HOST = '10.0.0.1'
 const COUNTER_HOST = '10.0.0.2'
--- a/packages/rate-limits/src/createPermitCounter/index.ts
+++ b/packages/rate-limits/src/createPermitCounter/index.ts
@@ -49,7 +49,7 @@
  * @returns The counter. It starts without permits for each back end, since another daemon may have granted some just before.
  */
 export function createPermitCounter (now: () => number): PermitCounter {
-  const states = new Map<types.BackEndLife, LimitState>()
+  const states = new Map<types.BackEndInstanceId, LimitState>()
 
   function findOrCreate (limit: rateLimits.RateLimit): LimitState {
     const existing = states.get(limit.life)
--- a/packages/rate-limits/src/createPermitCounter/test.ts
+++ b/packages/rate-limits/src/createPermitCounter/test.ts
@@ -3,7 +3,7 @@
 import * as types from '@switchridge/types'
 import * as createPermitCounter from './index.js'
 
-const LIFE = types.brandId<types.BackEndLife>('engine-1')
+const LIFE = types.brandId<types.BackEndInstanceId>('engine-1')
 
 interface Fixture {
   time: number
--- a/packages/rate-limits/src/createPermitServer/index.ts
+++ b/packages/rate-limits/src/createPermitServer/index.ts
@@ -7,7 +7,7 @@
 export interface PermitServerOptions {
   readonly counter: createPermitCounter.PermitCounter
   /** Fraction of the limit that this daemon may grant; null if another daemon is the counter. */
-  readonly grantableFraction: (life: types.BackEndLife) => number | null
+  readonly grantableFraction: (life: types.BackEndInstanceId) => number | null
   readonly send: (host: string, bytes: Buffer) => void
   readonly count: (name: string, labels?: Readonly<Record<string, string>>) => void
   /** Monotonic clock in milliseconds. */
--- a/packages/rate-limits/src/createPermitServer/test.ts
+++ b/packages/rate-limits/src/createPermitServer/test.ts
@@ -6,7 +6,7 @@
 import * as createPermitCounter from '../createPermitCounter/index.js'
 import * as createPermitServer from './index.js'
 
-const LIFE = types.brandId<types.BackEndLife>('engine-1')
+const LIFE = types.brandId<types.BackEndInstanceId>('engine-1')
 const REQUESTER = '10.0.0.1'
 
 interface Fixture {
--- a/packages/rate-limits/src/createRateLimitRecord/index.ts
+++ b/packages/rate-limits/src/createRateLimitRecord/index.ts
@@ -7,7 +7,7 @@
 
 /** A change of a limit. */
 export interface RateLimitChange {
-  readonly life: types.BackEndLife
+  readonly life: types.BackEndInstanceId
   /** Requests per second; null for no limit. */
   readonly before: number | null
   readonly after: number | null
@@ -18,7 +18,7 @@
 export interface RateLimitRecordOptions {
   readonly onChange: (change: RateLimitChange) => void
   /** Called with an advertised limit that can't be parsed, but not again while the text stays the same. */
-  readonly onUnreadable: (life: types.BackEndLife, text: string) => void
+  readonly onUnreadable: (life: types.BackEndInstanceId, text: string) => void
   /** Broadcasts a limit that is new to this daemon or was not broadcast for a while to all other gateways. */
   readonly broadcast: (limit: rateLimits.RateLimit) => void
   /** Monotonic clock in milliseconds. */
@@ -34,17 +34,17 @@
    * @param rate - What the headers of its response advertise.
    * @param sentAt - Monotonic time in milliseconds at which the call was sent.
    */
-  readonly noteResponse: (life: types.BackEndLife, rate: rateLimits.AdvertisedRate, sentAt: number) => void
+  readonly noteResponse: (life: types.BackEndInstanceId, rate: rateLimits.AdvertisedRate, sentAt: number) => void
   /** Records a limit received from another daemon, if it is newer than the known one. */
   readonly noteFromPeer: (limit: rateLimits.RateLimit) => void
   /** The limit in force, or null. */
-  readonly read: (life: types.BackEndLife) => rateLimits.RateLimit | null
+  readonly read: (life: types.BackEndInstanceId) => rateLimits.RateLimit | null
   /** Whether no limit is recorded, not even one that has ended. */
   readonly isEmpty: () => boolean
   /** All limits in force. */
   readonly inForce: () => rateLimits.RateLimit[]
   /** Removes the limits of back ends that are no longer listed. */
-  readonly retainOnly: (lives: ReadonlySet<types.BackEndLife>) => void
+  readonly retainOnly: (lives: ReadonlySet<types.BackEndInstanceId>) => void
 }
 
 /** An unchanged limit is broadcast again after this time, for daemons that missed the first broadcast and its repairs. */
@@ -69,10 +69,10 @@
  * @returns The record.
  */
 export function createRateLimitRecord ({ onChange, onUnreadable, broadcast: tell, now }: RateLimitRecordOptions): RateLimitRecord {
-  const entries = new Map<types.BackEndLife, Entry>()
-  const unreadableTexts = new Map<types.BackEndLife, string>()
+  const entries = new Map<types.BackEndInstanceId, Entry>()
+  const unreadableTexts = new Map<types.BackEndInstanceId, string>()
 
-  function readPerSecond (life: types.BackEndLife): number | null {
+  function readPerSecond (life: types.BackEndInstanceId): number | null {
     return entries.get(life)?.limit.perSecond ?? null
   }
 
@@ -87,7 +87,7 @@
     return now() - broadcastAt < (limit.perSecond === perSecond ? REBROADCAST_MS : CHANGE_BROADCAST_MS)
   }
 
-  function noteAdvertised (life: types.BackEndLife, perSecond: number): void {
+  function noteAdvertised (life: types.BackEndInstanceId, perSecond: number): void {
     const entry = entries.get(life)
     const wasBroadcast = entry !== undefined && wasBroadcastRecently(entry, perSecond)
     const limit = { life, perSecond, receivedAt: now() }
@@ -99,7 +99,7 @@
    * Responses on different connections overtake each other, so one without a limit may be older than one that advertises it. It ends the limit
    * only if its call was sent after the limit was last received.
    */
-  function noteUnlimited (life: types.BackEndLife, sentAt: number): void {
+  function noteUnlimited (life: types.BackEndInstanceId, sentAt: number): void {
     const entry = entries.get(life)
     if (entry === undefined || entry.limit.perSecond === null || sentAt <= entry.limit.receivedAt) return
     const limit = { life, perSecond: null, receivedAt: now() }
--- a/packages/rate-limits/src/createRateLimitRecord/test.ts
+++ b/packages/rate-limits/src/createRateLimitRecord/test.ts
@@ -4,7 +4,7 @@
 import type * as rateLimits from '../types/index.js'
 import * as createRateLimitRecord from './index.js'
 
-const LIFE = types.formatLife(types.brandId('engine-1'), null)
+const LIFE = types.formatBackEndInstanceId(types.brandId('engine-1'), null)
 
 interface Fixture {
   readonly record: createRateLimitRecord.RateLimitRecord
@@ -79,8 +79,8 @@
 
 nodeTest.test('a restarted back end starts without a limit', () => {
   const { record } = createFixture()
-  record.noteResponse(types.formatLife(types.brandId('engine-1'), 1), { kind: 'named', perSecond: 6 }, 900)
-  assert.equal(record.read(types.formatLife(types.brandId('engine-1'), 2)), null)
+  record.noteResponse(types.formatBackEndInstanceId(types.brandId('engine-1'), 1), { kind: 'named', perSecond: 6 }, 900)
+  assert.equal(record.read(types.formatBackEndInstanceId(types.brandId('engine-1'), 2)), null)
 })
 
 nodeTest.test('an unchanged limit is broadcast again for daemons that missed it', () => {
--- a/packages/rate-limits/src/types/index.ts
+++ b/packages/rate-limits/src/types/index.ts
@@ -11,7 +11,7 @@
 
 /** The rate limit of one run of a back end process. */
 export interface RateLimit {
-  readonly life: types.BackEndLife
+  readonly life: types.BackEndInstanceId
   /** Requests per second from all gateways together; null once the back end has stopped advertising a limit. */
   readonly perSecond: number | null
   /** Monotonic time in milliseconds at which a daemon last received this value from the back end. */
@@ -27,7 +27,7 @@
 /** Provides the permits of one gateway; the sources of all gateways together keep each rate limit. */
 export interface PermitSource {
   /** Milliseconds until a permit should be requested; 0 if it may be requested now. `isLate` as in `acquire`. */
-  readonly waitMs: (life: types.BackEndLife, isLate: boolean) => number
+  readonly waitMs: (life: types.BackEndInstanceId, isLate: boolean) => number
   /** Requests a permit for one request, which must be sent at once if granted; `isLate`: its answer will miss its target time. */
   readonly acquire: (limit: RateLimit, isLate: boolean) => Promise<PermitDecision>
 }
--- a/packages/rpc/src/createRpcClient/index.ts
+++ b/packages/rpc/src/createRpcClient/index.ts
@@ -6,7 +6,7 @@
 import * as openRequest from '../openRequest/index.js'
 
 /** Counters of RPC traffic with other daemons, compared with the budget of control traffic. */
-export interface Traffic {
+export interface TrafficCounters {
   exchanges: number
   /** Bytes of request and response bodies. */
   bytes: number
@@ -42,7 +42,7 @@
  * @param traffic - Counters that each exchange is added to.
  * @returns The client.
  */
-export function createRpcClient (self: identity.Identity, httpAgents: agents.HttpAgents, traffic: Traffic = { exchanges: 0, bytes: 0 }): RpcClient {
+export function createRpcClient (self: identity.Identity, httpAgents: agents.HttpAgents, traffic: TrafficCounters = { exchanges: 0, bytes: 0 }): RpcClient {
   const headers = { ...identity.createIdentityHeaders(self), 'content-type': 'application/json' }
 
   async function call<Result> (address: types.Address, method: string, params: unknown, timeoutMs = DEFAULT_TIMEOUT_MS): Promise<types.Outcome<Result, RpcFailure>> {
--- a/packages/rpc/src/createRpcServer/index.ts
+++ b/packages/rpc/src/createRpcServer/index.ts
@@ -18,7 +18,7 @@
  * @param traffic - Counters that each exchange is added to.
  * @returns A koa middleware for `POST /rpc`.
  */
-export function createRpcServer (self: identity.Identity, methods: Readonly<Record<string, RpcMethod>>, traffic: client.Traffic = { exchanges: 0, bytes: 0 }): Koa.Middleware {
+export function createRpcServer (self: identity.Identity, methods: Readonly<Record<string, RpcMethod>>, traffic: client.TrafficCounters = { exchanges: 0, bytes: 0 }): Koa.Middleware {
   const server = new jsonRpc.JSONRPCServer({ errorListener: () => {} })
   for (const [name, method] of Object.entries(methods)) server.addMethod(name, method)
 
--- a/packages/rpc/src/openRequest/index.ts
+++ b/packages/rpc/src/openRequest/index.ts
@@ -19,16 +19,16 @@
   /** Milliseconds until the request is aborted, including the response body; no limit when absent. */
   readonly timeoutMs?: number
   /** Idle timeout: milliseconds without a response byte after which the request is aborted; a response that keeps arriving is not aborted. No limit when absent. */
-  readonly quietMs?: number
-  /** Milliseconds until the first response byte, instead of `quietMs`; used only together with it. */
-  readonly firstByteMs?: number
+  readonly idleTimeoutMs?: number
+  /** Milliseconds until the first response byte, instead of `idleTimeoutMs`; used only together with it. */
+  readonly firstByteTimeoutMs?: number
   readonly signal?: AbortSignal
   /** Called when the response headers have arrived. */
-  readonly onHead?: () => void
+  readonly onHeaders?: () => void
   /** Called by `sendRequest` with the size of each chunk of the response body. */
   readonly onBytes?: (bytes: number) => void
   /** Whether to use a connection without keep-alive, which is closed after the response. */
-  readonly isSingle?: boolean
+  readonly closeAfterResponse?: boolean
 }
 
 /** The request failed, or its response broke off or exceeded the size limit. */
@@ -52,7 +52,7 @@
 export async function openRequest (httpAgents: createHttpAgents.HttpAgents, request: OutgoingRequest): Promise<types.Outcome<http.IncomingMessage, RequestError>> {
   const isSecure = request.base.startsWith('https:')
   const send = isSecure ? https.request : http.request
-  const agents = request.isSingle === true ? httpAgents.noKeepAlive : httpAgents
+  const agents = request.closeAfterResponse === true ? httpAgents.noKeepAlive : httpAgents
   const length = request.body === undefined ? {} : { 'content-length': Buffer.byteLength(request.body) }
   return await new Promise((resolve) => {
     const outgoing = send(request.base + request.path, {
@@ -70,12 +70,12 @@
     const timer = request.timeoutMs === undefined
       ? undefined
       : setTimeout(() => { abort(`no whole answer within ${request.timeoutMs ?? 0} ms`) }, request.timeoutMs)
-    if (request.quietMs !== undefined) abortWhenIdle(outgoing, request.quietMs, request.firstByteMs ?? request.quietMs, abort)
+    if (request.idleTimeoutMs !== undefined) abortWhenIdle(outgoing, request.idleTimeoutMs, request.firstByteTimeoutMs ?? request.idleTimeoutMs, abort)
     outgoing.on('error', (error) => { resolve(types.fail(new RequestError(error))) })
     outgoing.once('close', () => { clearTimeout(timer) })
     outgoing.once('response', (response) => {
       incoming = response
-      request.onHead?.()
+      request.onHeaders?.()
       resolve(types.succeed(response))
     })
     outgoing.end(request.body)
@@ -110,7 +110,7 @@
  * @param maximumBytes - Largest accepted body; a longer one is a failure.
  * @returns Status, headers and body of the response.
  */
-export async function sendRequest (httpAgents: createHttpAgents.HttpAgents, request: OutgoingRequest, maximumBytes = Infinity): Promise<types.Outcome<WholeAnswer, RequestError>> {
+export async function sendRequest (httpAgents: createHttpAgents.HttpAgents, request: OutgoingRequest, maximumBytes = Infinity): Promise<types.Outcome<BufferedResponse, RequestError>> {
   const opened = await openRequest(httpAgents, request)
   if (!opened.ok) return opened
   const response = opened.value
@@ -131,7 +131,7 @@
 }
 
 /** A response whose body was read completely. */
-export interface WholeAnswer {
+export interface BufferedResponse {
   readonly status: number
   readonly headers: http.IncomingHttpHeaders
   readonly body: Buffer
--- a/packages/rpc/src/openRequest/test.ts
+++ b/packages/rpc/src/openRequest/test.ts
@@ -39,7 +39,7 @@
   const server = await openServer(context)
   context.mock.timers.enable({ apis: ['setTimeout'] })
   const pendingResponse = server.nextResponse()
-  const pendingResult = send(server, { quietMs: IDLE_TIMEOUT_MS })
+  const pendingResult = send(server, { idleTimeoutMs: IDLE_TIMEOUT_MS })
   const response = await pendingResponse
   for (let chunk = 0; chunk < CHUNKS; chunk += 1) {
     response.write('part')
@@ -56,7 +56,7 @@
   const server = await openServer(context)
   context.mock.timers.enable({ apis: ['setTimeout'] })
   const pendingResponse = server.nextResponse()
-  const pendingResult = send(server, { quietMs: IDLE_TIMEOUT_MS })
+  const pendingResult = send(server, { idleTimeoutMs: IDLE_TIMEOUT_MS })
   const response = await pendingResponse
   response.write('part')
   await flushEventLoop()
@@ -70,7 +70,7 @@
   const server = await openServer(context)
   context.mock.timers.enable({ apis: ['setTimeout'] })
   const pendingResponse = server.nextResponse()
-  const pendingResult = send(server, { quietMs: IDLE_TIMEOUT_MS, firstByteMs: 3 * IDLE_TIMEOUT_MS })
+  const pendingResult = send(server, { idleTimeoutMs: IDLE_TIMEOUT_MS, firstByteTimeoutMs: 3 * IDLE_TIMEOUT_MS })
   const response = await pendingResponse
   context.mock.timers.tick(3 * IDLE_TIMEOUT_MS - 1)
   response.write('part')
@@ -83,7 +83,7 @@
   const server = await openServer(context)
   context.mock.timers.enable({ apis: ['setTimeout'] })
   const pendingResponse = server.nextResponse()
-  const pendingResult = send(server, { quietMs: IDLE_TIMEOUT_MS, timeoutMs: 2 * IDLE_TIMEOUT_MS })
+  const pendingResult = send(server, { idleTimeoutMs: IDLE_TIMEOUT_MS, timeoutMs: 2 * IDLE_TIMEOUT_MS })
   const response = await pendingResponse
   for (let chunk = 0; chunk < CHUNKS; chunk += 1) {
     response.write('part')
@@ -100,7 +100,7 @@
   context.mock.timers.enable({ apis: ['setTimeout'] })
   for (let attempt = 0; attempt < 2; attempt += 1) {
     const pendingResponse = server.nextResponse()
-    const pendingResult = send(server, { quietMs: IDLE_TIMEOUT_MS })
+    const pendingResult = send(server, { idleTimeoutMs: IDLE_TIMEOUT_MS })
     const response = await pendingResponse
     response.write('part')
     await flushEventLoop()
--- a/packages/spread/src/_lib/fleetTesting.ts
+++ b/packages/spread/src/_lib/fleetTesting.ts
@@ -134,7 +134,7 @@
 }
 
 /** The state of a copy, of realistic length; `at` may be later than the last change. */
-function describeCopy (changedAt: number, at = changedAt): store.CopyState {
+function describeCopy (changedAt: number, at = changedAt): store.MirrorState {
   return { at, digest: `d${changedAt}`.padEnd(8, 'x') }
 }
 
--- a/packages/spread/src/_lib/hallCopies.ts
+++ b/packages/spread/src/_lib/hallCopies.ts
@@ -29,7 +29,7 @@
   return newest
 }
 
-function isSameContent (left: store.CopyState, right: store.CopyState): boolean {
+function isSameContent (left: store.MirrorState, right: store.MirrorState): boolean {
   return left.at === right.at || left.digest === right.digest
 }
 
--- a/packages/spread/src/_lib/heartbeat.ts
+++ b/packages/spread/src/_lib/heartbeat.ts
@@ -10,7 +10,7 @@
 }
 
 /** States of store copies, by kind of object. */
-export type CopyStates = Readonly<Record<string, store.CopyState>>
+export type CopyStates = Readonly<Record<string, store.MirrorState>>
 
 /** The state that a daemon sends in each heartbeat. */
 export interface Heartbeat {
--- a/packages/spread/src/_lib/wire.ts
+++ b/packages/spread/src/_lib/wire.ts
@@ -30,7 +30,7 @@
 }
 
 /** The most recent copy in a hall by kind, with the host of a member that holds it. */
-export type HallCopies = Readonly<Record<string, { readonly state: store.CopyState, readonly host: string }>>
+export type HallCopies = Readonly<Record<string, { readonly state: store.MirrorState, readonly host: string }>>
 
 /** State of a hall as one of its relays sends it, or a part of it that fits into a datagram. */
 export interface Digest {
@@ -93,7 +93,7 @@
   return (role === 'agent' ? AGENT_FLAG : 0) | (isLeaving ? LEAVING_FLAG : 0) | (isStoreLost ? STORE_LOST_FLAG : 0)
 }
 
-function formatState ({ at, digest }: store.CopyState): unknown[] {
+function formatState ({ at, digest }: store.MirrorState): unknown[] {
   return [at, digest]
 }
 
@@ -194,7 +194,7 @@
 const isStringList = (value: unknown): value is string[] => isArray(value) && value.every(isString)
 const isRecord = (value: unknown): value is Record<string, unknown> => typeof value === 'object' && value !== null && !Array.isArray(value)
 
-function parseState (value: unknown): store.CopyState {
+function parseState (value: unknown): store.MirrorState {
   const [at, digest] = requireShape(value, isArray)
   return { at: requireShape(at, isNumber), digest: requireShape(digest, isString) }
 }
--- a/packages/spread/src/createCopySync/index.ts
+++ b/packages/spread/src/createCopySync/index.ts
@@ -12,7 +12,7 @@
 
 /** The answer of a peer. */
 export interface FetchedCopy {
-  readonly changes: store.CopyChanges
+  readonly changes: store.MirrorChanges
   /** Bytes transferred over the network. */
   readonly bytes: number
 }
@@ -62,7 +62,7 @@
 interface Offer {
   readonly host: string
   readonly isOwnHall: boolean
-  readonly state: store.CopyState
+  readonly state: store.MirrorState
   readonly heardAt: number
 }
 
@@ -120,13 +120,13 @@
     const { host } = heartbeat
     const isOwnHall = heartbeat.zone === options.zone
     offers.set(host, { host, isOwnHall, state, heardAt: options.now() })
-    if (mirror.confirm(state)) options.onConfirmed(kind, isOwnHall)
+    if (mirror.advanceIfEqual(state)) options.onConfirmed(kind, isOwnHall)
     if (!isSyncing && isWanted(state)) void synchronize()
   }
 
-  function isWanted (state: store.CopyState): boolean {
+  function isWanted (state: store.MirrorState): boolean {
     const own = mirror.state()
-    return state.at > own.at && (!mirror.isKnown() || state.digest !== own.digest)
+    return state.at > own.at && (!mirror.isInitialized() || state.digest !== own.digest)
   }
 
   /**
@@ -157,7 +157,7 @@
 
   async function synchronize (): Promise<void> {
     isSyncing = true
-    if (mirror.isKnown() && options.isWatching(kind)) await types.delay(WATCH_GRACE_MS)
+    if (mirror.isInitialized() && options.isWatching(kind)) await types.delay(WATCH_GRACE_MS)
     nextRequestAt = options.now()
     otherHallsAt = options.now() + options.otherHallGraceMs()
     for (let wanted = listOffers(); wanted.length > 0 && !isStopped(); wanted = listOffers()) await waitForAnswer(requestNext(wanted))
@@ -228,7 +228,7 @@
     return handleApplyResult(mirror.applyChanges(changes), { ...fetched.value, host, isOwnHall })
   }
 
-  function handleApplyResult (result: store.ChangesVerdict, adopted: AdoptedCopy): boolean {
+  function handleApplyResult (result: store.ApplyResult, adopted: AdoptedCopy): boolean {
     if (result === 'false-digest') return noteFailure(adopted.host, 'objects that do not give their digest', true)
     if (result === 'unfit') {
       needsFullCopy = true
--- a/packages/spread/src/createCopySync/test.ts
+++ b/packages/spread/src/createCopySync/test.ts
@@ -24,7 +24,7 @@
 interface HarnessOptions {
   readonly isWatching?: boolean
   /** Replaces the answer of a peer. */
-  readonly answer?: (host: string, request: createCopySync.CopyRequest, changes: store.CopyChanges) => types.Outcome<store.CopyChanges, types.UnavailableError | createCopySync.InvalidCopyError>
+  readonly answer?: (host: string, request: createCopySync.CopyRequest, changes: store.MirrorChanges) => types.Outcome<store.MirrorChanges, types.UnavailableError | createCopySync.InvalidCopyError>
   /** Milliseconds that an answer takes, for all hosts or by host. */
   readonly answerMs?: number | ((host: string) => number)
   readonly random?: () => number
@@ -82,7 +82,7 @@
   }
 }
 
-function makeHeartbeat (host: string, zone: string, state: store.CopyState, role: createGossip.Heartbeat['role']): createGossip.Heartbeat {
+function makeHeartbeat (host: string, zone: string, state: store.MirrorState, role: createGossip.Heartbeat['role']): createGossip.Heartbeat {
   return { node: types.brandId(host), role, zone, host, isLeaving: false, isStoreLost: false, copies: { [KIND]: state }, versions: [], suspects: [], engine: null }
 }
 
--- a/packages/store/src/createLease/index.ts
+++ b/packages/store/src/createLease/index.ts
@@ -43,7 +43,7 @@
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
   /** Takes the lease from its holder without waiting for expiry; safe only if the protected resource checks the generation. */
-  readonly takesOver?: boolean
+  readonly preemptsHolder?: boolean
 }
 
 /** A version of another holder's lease and when it was first seen, by the local clock. */
@@ -81,7 +81,7 @@
   }
 
   function computeWaitMs (record: LeaseRecord, version: number): number {
-    if (record.released || options.takesOver === true) return 0
+    if (record.released || options.preemptsHolder === true) return 0
     if (observed?.version !== version) observed = { version, observedAt: options.now() }
     return observed.observedAt + record.durationMs - options.now()
   }
--- a/packages/store/src/createMirror/index.ts
+++ b/packages/store/src/createMirror/index.ts
@@ -43,7 +43,7 @@
 }
 
 /** Revision and digest of a copy, by which two copies are compared without sending them. */
-export interface CopyState {
+export interface MirrorState {
   /** Revision up to which the copy includes all changes; 0 before the first list or copy. */
   readonly at: number
   /** Digest of the names and revisions of the objects; equal for copies of equal content. */
@@ -51,7 +51,7 @@
 }
 
 /** Changes of a copy after a revision, as peers exchange them. */
-export interface CopyChanges extends CopyState {
+export interface MirrorChanges extends MirrorState {
   readonly kind: string
   /** The changes are those after this revision; 0 stands for a full copy. */
   readonly since: number
@@ -61,23 +61,23 @@
 }
 
 /** Result of applying changes: `unfit` means that a full copy is needed, `false-digest` that the sender's full copy contradicts its digest. */
-export type ChangesVerdict = 'applied' | 'older' | 'unfit' | 'false-digest'
+export type ApplyResult = 'applied' | 'older' | 'unfit' | 'false-digest'
 
 /** A local copy of the objects of one kind. */
 export interface Mirror {
   readonly kind: string
   readonly objects: () => ReadonlyMap<string, StoredObject>
-  readonly state: () => CopyState
+  readonly state: () => MirrorState
   /** Whether the mirror has received a list or a full copy. */
-  readonly isKnown: () => boolean
+  readonly isInitialized: () => boolean
   readonly applyList: (listed: ListedObjects) => void
   readonly applyEvents: (watched: WatchedEvents) => void
   /** Advances to the later revision of a copy with equal content; returns whether it did. Listeners are not called. */
-  readonly confirm: (state: CopyState) => boolean
+  readonly advanceIfEqual: (state: MirrorState) => boolean
   /** The changes after a revision, or a full copy if the removals since then are not known. */
-  readonly changesSince: (since: number) => CopyChanges
+  readonly changesSince: (since: number) => MirrorChanges
   /** Applies a peer's changes if they are newer and continue from a revision that this copy includes. */
-  readonly applyChanges: (changes: CopyChanges) => ChangesVerdict
+  readonly applyChanges: (changes: MirrorChanges) => ApplyResult
   /** Registers a listener that is called when the content has changed. */
   readonly onChange: (listener: () => void) => void
 }
@@ -98,7 +98,7 @@
  */
 export function createMirror (kind: string): Mirror {
   let objects = new Map<string, StoredObject>()
-  let state: CopyState = { at: 0, digest: digestObjects.digestObjects([]) }
+  let state: MirrorState = { at: 0, digest: digestObjects.digestObjects([]) }
   let isKnown = false
   /** Revisions at which removals of names were observed, oldest first. */
   const removals = new Map<string, number>()
@@ -164,14 +164,14 @@
     return last
   }
 
-  function changesSince (since: number): CopyChanges {
+  function changesSince (since: number): MirrorChanges {
     if (!isKnown || since < removalsKnownFrom) return { kind, since: 0, ...state, objects: [...objects.values()], gone: [] }
     const changed = [...objects.values()].filter((object) => object.revision > since)
     const gone = [...removals].filter(([, at]) => at > since).map(([name]) => name)
     return { kind, since: findLastChangeUpTo(since), ...state, objects: changed, gone }
   }
 
-  function applyChanges (changes: CopyChanges): ChangesVerdict {
+  function applyChanges (changes: MirrorChanges): ApplyResult {
     if (changes.kind !== kind || changes.at <= state.at) return 'older'
     if (changes.since === 0) return applyFullCopy(changes)
     if (state.at < changes.since) return 'unfit'
@@ -183,7 +183,7 @@
     return 'applied'
   }
 
-  function applyFullCopy (changes: CopyChanges): ChangesVerdict {
+  function applyFullCopy (changes: MirrorChanges): ApplyResult {
     if (digestObjects.digestObjects(changes.objects) !== changes.digest) return 'false-digest'
     replaceContent(mergeFullList(changes.objects, changes.at), changes.at)
     return 'applied'
@@ -197,8 +197,8 @@
     applyChanges,
     objects: () => objects,
     state: () => state,
-    isKnown: () => isKnown,
-    confirm: (other) => {
+    isInitialized: () => isKnown,
+    advanceIfEqual: (other) => {
       if (!isKnown || other.at <= state.at || other.digest !== state.digest) return false
       state = { at: other.at, digest: state.digest }
       return true
--- a/packages/store/src/createMirror/test.ts
+++ b/packages/store/src/createMirror/test.ts
@@ -62,7 +62,7 @@
       const [own, peer] = [daemons[who], daemons[1 - who]] as [SimulatedDaemon, SimulatedDaemon]
       const before = own.mirror.state()
       const state = peer.mirror.state()
-      if (step === 'confirm') own.mirror.confirm(state)
+      if (step === 'confirm') own.mirror.advanceIfEqual(state)
       else if (step === 'whole') own.mirror.applyChanges(peer.mirror.changesSince(0))
       else if (step === 'changes') {
         const verdict = own.mirror.applyChanges(peer.mirror.changesSince(Math.min(since, before.at)))
@@ -97,7 +97,7 @@
   mirror.applyList({ objects: [], at: 40 })
   const other = createMirror.createMirror('things')
   assert.equal(other.applyChanges(mirror.changesSince(0)), 'applied')
-  assert.equal(other.isKnown(), true)
+  assert.equal(other.isInitialized(), true)
 })
 
 nodeTest.test('advances to a later revision of equal content without a copy and without calling listeners', () => {
@@ -106,9 +106,9 @@
   mirror.applyList(listed(5, ['a', 2], ['b', 4]))
   const other = createMirror.createMirror('things')
   other.applyList(listed(90, ['b', 4], ['a', 2]))
-  assert.equal(mirror.confirm(other.state()), true)
+  assert.equal(mirror.advanceIfEqual(other.state()), true)
   assert.equal(mirror.state().at, 90)
-  assert.equal(mirror.confirm({ ...other.state(), at: 80 }), false)
+  assert.equal(mirror.advanceIfEqual({ ...other.state(), at: 80 }), false)
   mirror.applyList(listed(95, ['a', 2], ['b', 4]))
   mirror.applyEvents({ events: [], at: 99 })
   assert.equal(mirror.state().at, 99)
--- a/packages/store/src/keepMirror/index.ts
+++ b/packages/store/src/syncMirror/index.ts
@@ -13,19 +13,19 @@
   /** Checked before each request; while false, no requests are sent to the store, and peers update the mirror instead. */
   readonly mayWatch: () => boolean
   /** Resolves when `mayWatch` may have changed, which can happen several times within the second in which a watcher is replaced. */
-  readonly nextChance: () => Promise<void>
+  readonly mayWatchChanged: () => Promise<void>
   /** Called when the store becomes unreachable and when it is reachable again. */
-  readonly onReachable: (isReachable: boolean, reason: string) => void
+  readonly onReachabilityChange: (isReachable: boolean, reason: string) => void
 }
 
 /** A running synchronization of a mirror. */
-export interface KeptMirror {
+export interface MirrorSync {
   /** Whether the store is reachable, by the last request to it. */
   readonly isReachable: () => boolean
   /** Whether the store is reachable and the mirror may send requests to it. */
   readonly isWatching: () => boolean
   /** Abandons the current watch and starts a new one: after the machine was suspended, its connection may be dead, which the watch would notice only at the end of its wait. */
-  readonly restart: () => void
+  readonly restartWatch: () => void
   readonly stop: () => void
 }
 
@@ -45,7 +45,7 @@
  * @param options - The mirror, the store, the wait of watches and callbacks.
  * @returns The running synchronization, to query, restart and stop it.
  */
-export function keepMirror (options: SyncMirrorOptions): KeptMirror {
+export function syncMirror (options: SyncMirrorOptions): MirrorSync {
   const { mirror, store } = options
   const stopping = new AbortController()
   let isReachable = true
@@ -59,7 +59,7 @@
 
   function recordFailure (error: Error): number {
     failures += 1
-    if (isReachable) options.onReachable(false, error.message)
+    if (isReachable) options.onReachabilityChange(false, error.message)
     isReachable = false
     const retryMs = Math.min(RETRY_MAXIMUM_MS, RETRY_MINIMUM_MS * 2 ** Math.min(failures - 1, 4))
     return types.jitter(retryMs, MINIMUM_WAIT_FRACTION, options.random())
@@ -67,7 +67,7 @@
 
   function recordSuccess (): void {
     failures = 0
-    if (!isReachable) options.onReachable(true, '')
+    if (!isReachable) options.onReachabilityChange(true, '')
     isReachable = true
   }
 
@@ -106,12 +106,12 @@
   async function run (): Promise<void> {
     while (!stopping.signal.aborted) {
       isWaiting = !options.mayWatch()
-      if (isWaiting) await options.nextChance()
-      else if (isHistoryGone || !mirror.isKnown()) await list()
+      if (isWaiting) await options.mayWatchChanged()
+      else if (isHistoryGone || !mirror.isInitialized()) await list()
       else await watch()
     }
   }
 
   void run()
-  return { isReachable: () => isReachable, isWatching: () => isReachable && !isWaiting, restart: () => { cancelWatch() }, stop: () => { stopping.abort() } }
+  return { isReachable: () => isReachable, isWatching: () => isReachable && !isWaiting, restartWatch: () => { cancelWatch() }, stop: () => { stopping.abort() } }
 }
--- a/packages/store/src/keepMirror/test.ts
+++ b/packages/store/src/syncMirror/test.ts
@@ -2,7 +2,7 @@
 import * as nodeTest from 'node:test'
 import * as types from '@switchridge/types'
 import * as createMirror from '../createMirror/index.js'
-import * as keepMirror from './index.js'
+import * as syncMirror from './index.js'
 
 const KIND = 'things'
 const WAIT_MS = 1000
@@ -42,8 +42,8 @@
   }
 }
 
-function startSync (mirror: createMirror.Mirror, store: createMirror.CollectionStore, mayWatch: () => boolean): keepMirror.KeptMirror {
-  return keepMirror.keepMirror({ mirror, store, waitMs: WAIT_MS, random: () => 0.5, mayWatch, nextChance: async () => { await types.delay(MAY_WATCH_POLL_MS) }, onReachable: () => {} })
+function startSync (mirror: createMirror.Mirror, store: createMirror.CollectionStore, mayWatch: () => boolean): syncMirror.MirrorSync {
+  return syncMirror.syncMirror({ mirror, store, waitMs: WAIT_MS, random: () => 0.5, mayWatch, mayWatchChanged: async () => { await types.delay(MAY_WATCH_POLL_MS) }, onReachabilityChange: () => {} })
 }
 
 nodeTest.test('sends no requests while it may not watch, and then watches from the revision that peers advanced the mirror to', async (context) => {
@@ -87,7 +87,7 @@
   const mirror = createMirror.createMirror(KIND)
   const sync = startSync(mirror, recording.store, () => true)
   await advance(context, 100)
-  sync.restart()
+  sync.restartWatch()
   await advance(context, 100)
   assert.deepEqual(recording.calls, ['list', 'watch 5', 'watch 5'])
   await advance(context, WAIT_MS)
--- a/packages/table/src/parseCells/index.ts
+++ b/packages/table/src/parseAssignments/index.ts
@@ -4,7 +4,7 @@
 import * as schema from '../_lib/schema.js'
 
 /** Section and id of a row. */
-export interface RowPlace {
+export interface RowReference {
   readonly section: types.SectionName
   readonly row: string
 }
@@ -17,7 +17,7 @@
  * @param text - For example `model/assistant`.
  * @returns Section and id of the row, or what is allowed.
  */
-export function parseRowPlace (text: string): types.Outcome<RowPlace, types.InvalidInputError> {
+export function parseRowReference (text: string): types.Outcome<RowReference, types.InvalidInputError> {
   const [sectionName = '', row = '', ...rest] = text.split('/')
   const section = sections.findSection(sectionName)
   if (section === undefined || row === '' || rest.length > 0) return invalid({ place: 'row', given: JSON.stringify(text), allowed: ROW_FORMS })
@@ -32,9 +32,9 @@
  * @param assignments - Assignments `column=value`; an empty value clears the cell.
  * @returns The changes that differ from the table, or the invalid assignments.
  * @example
- * parseCells(table, { section: 'models', row: 'assistant' }, ['priority=5', 'targets=all'])
+ * parseAssignments(table, { section: 'models', row: 'assistant' }, ['priority=5', 'targets=all'])
  */
-export function parseCells (table: types.Table, place: RowPlace, assignments: readonly string[]): types.Outcome<readonly types.CellChange[], types.InvalidInputError> {
+export function parseAssignments (table: types.Table, place: RowReference, assignments: readonly string[]): types.Outcome<readonly types.CellChange[], types.InvalidInputError> {
   const columns = Object.keys(schema.ROW_SCHEMAS[place.section].shape)
   const current = sections.readCells(table, place.section).find((row) => row['id'] === place.row)
   const problems: types.InputProblem[] = []
@@ -59,7 +59,7 @@
  * @param place - The row.
  * @returns The change.
  */
-export function removeRow (place: RowPlace): types.CellChange {
+export function removeRow (place: RowReference): types.CellChange {
   return { ...place, column: 'id', before: place.row, after: null }
 }
 
--- a/packages/types/src/ids/index.ts
+++ b/packages/types/src/ids/index.ts
@@ -23,7 +23,7 @@
 /** One attempt to run a call on a backend server. */
 export type TicketId = Branded<'TicketId'>
 /** One instance of a back end, from start to end; a restart under the same node id is another instance. */
-export type BackEndLife = Branded<'BackEndLife'>
+export type BackEndInstanceId = Branded<'BackEndInstanceId'>
 /** One run of a daemon process; ids of later runs on the same node sort higher. */
 export type IncarnationId = Branded<'IncarnationId'>
 
@@ -34,15 +34,15 @@
  * @param bornAt - Start time of the instance; null when the back end does not report it.
  * @returns The instance id, the same on all daemons.
  */
-export function formatLife (id: NodeId, bornAt: number | null): BackEndLife {
-  return brandId<BackEndLife>(bornAt === null ? id : `${id}/${bornAt}`)
+export function formatBackEndInstanceId (id: NodeId, bornAt: number | null): BackEndInstanceId {
+  return brandId<BackEndInstanceId>(bornAt === null ? id : `${id}/${bornAt}`)
 }
 
 /** Longest instance id that is accepted from another daemon. */
 const MAXIMUM_INSTANCE_ID_LENGTH = 120
 
 /** Tells whether a value received from another daemon is a valid id of a back end instance. */
-export function isLife (value: unknown): value is BackEndLife {
+export function isBackEndInstanceId (value: unknown): value is BackEndInstanceId {
   return typeof value === 'string' && value.length > 0 && value.length <= MAXIMUM_INSTANCE_ID_LENGTH
 }
 
--- a/packages/types/src/isCount/index.ts
+++ b/packages/types/src/isNonNegativeNumber/index.ts
@@ -4,6 +4,6 @@
  * @param value - Any value.
  * @returns True for such a number.
  */
-export function isCount (value: unknown): value is number {
+export function isNonNegativeNumber (value: unknown): value is number {
   return typeof value === 'number' && Number.isFinite(value) && value >= 0
 }
--- a/packages/types/src/parseJsonList/index.ts
+++ b/packages/types/src/parseJsonArray/index.ts
@@ -4,7 +4,7 @@
  * @param bytes - The bytes.
  * @returns The array; an empty one for any other content.
  */
-export function parseJsonList (bytes: Buffer): unknown[] {
+export function parseJsonArray (bytes: Buffer): unknown[] {
   try {
     const parsed: unknown = JSON.parse(bytes.toString())
     return Array.isArray(parsed) ? parsed : []
--- a/packages/types/src/table/index.ts
+++ b/packages/types/src/table/index.ts
@@ -2,7 +2,7 @@
 import type * as ids from '../ids/index.js'
 
 /** Which goal transfers of a row prefer when completion time and bytes read from the origin conflict. */
-export type Favour = 'time' | 'origin-bytes'
+export type TransferPreference = 'time' | 'origin-bytes'
 
 /** A model, adapter or version, and the nodes that should hold it. */
 export interface ModelRow {
@@ -27,7 +27,7 @@
   readonly originCopies: number
   /** Bytes per second that all nodes together may read from the origin for this row. */
   readonly originBytesPerSecond: number
-  readonly favour: Favour
+  readonly favour: TransferPreference
   /** Replicas that must keep serving while the version changes. */
   readonly minimumServing: number
 }
