--- a/packages/daemon/src/_lib/copyParts.ts
+++ b/packages/daemon/src/_lib/copyParts.ts
@@ -11,7 +11,7 @@
 
 /** Returns the part of a kind that a role keeps. Agents make no decision that needs routes and keys, so they keep only the services. */
 export function partForRole (kind: string, role: spread.Heartbeat['role']): CopyPart {
-  return role === 'agent' && kind === platform.KINDS.configuration ? 'services' : 'whole'
+  return role === 'agent' && kind === platform.OBJECT_KINDS.configuration ? 'services' : 'whole'
 }
 
 /** Returns whether a daemon that has one part can serve the wanted one. */
@@ -21,7 +21,7 @@
 
 /** Extracts the wanted part of objects. */
 export function extractPart (objects: readonly store.StoredObject[], wanted: CopyPart): readonly store.StoredObject[] {
-  return wanted === 'whole' ? objects : objects.map((object) => ({ ...object, value: platform.takeServices(object.value) }))
+  return wanted === 'whole' ? objects : objects.map((object) => ({ ...object, value: platform.omitRoutesAndTenants(object.value) }))
 }
 
 /** Formats the path to request the changes since a revision. Names of kinds are plain words and need no escaping. */
--- a/packages/daemon/src/_lib/fleetTesting.ts
+++ b/packages/daemon/src/_lib/fleetTesting.ts
@@ -101,7 +101,7 @@
       const engine = await testing.createEngineStandIn(options)
       servers.push(engine)
       const model = options.model === undefined ? undefined : { name: options.model, version: options.version ?? 0 }
-      store.put(platform.KINDS.backEnds, options.id, testing.describeEngine(engine, service, 'zone-a', model))
+      store.put(platform.OBJECT_KINDS.backEnds, options.id, testing.describeEngine(engine, service, 'zone-a', model))
       return engine
     },
     startGateway: async (host, seeds = [], clocks = clock.SYSTEM_CLOCKS) => {
@@ -140,7 +140,7 @@
       configuration = structuredClone(configuration)
       configuration.version += 1
       change(configuration)
-      store.put(platform.KINDS.configuration, platform.CONFIGURATION_NAME, configuration)
+      store.put(platform.OBJECT_KINDS.configuration, platform.CONFIGURATION_NAME, configuration)
     }
   }
 }
--- a/packages/daemon/src/_lib/platformCalls.test.ts
+++ b/packages/daemon/src/_lib/platformCalls.test.ts
@@ -15,7 +15,7 @@
     agents.destroy()
     origin.close()
   })
-  const reader = platform.createWeightOrigin(() => origin.address, agents, () => {})
+  const reader = platform.createOriginClient(() => origin.address, agents, () => {})
   const id = { model: 'm', version: 1 }
   assert.ok((await reader.readManifest(id)).ok)
   for (const piece of [0, 1, 2]) assert.ok((await reader.readPiece(id, piece)).ok)
@@ -30,7 +30,7 @@
     agents.destroy()
     engine.close()
   })
-  const control = platform.createEngineControl(engine.address, agents, () => {})
+  const control = platform.createEngineClient(engine.address, agents, () => {})
   assert.equal(await control.start({ model: 'm', version: 2 }, 0, 'break-off'), 'begun')
   assert.equal(await control.start({ model: 'm', version: 3 }, 0, 'finish'), 'refused')
   assert.equal(await control.start({ model: 'm', version: 3 }, 1, 'finish'), 'begun')
@@ -109,7 +109,7 @@
 
 nodeTest.test('a piece from the origin is accepted as long as it keeps arriving over a congested link', async (context) => {
   const { address, agents, response } = await startSlowServer(context)
-  const reader = platform.createWeightOrigin(() => address, agents, () => {})
+  const reader = platform.createOriginClient(() => address, agents, () => {})
   const read = reader.readPiece({ model: 'm', version: 2 }, 7)
   const answer = await response
   for (let part = 0; part < PIECE_PARTS; part += 1) {
@@ -140,7 +140,7 @@
     server.close()
   })
   const address = { host: '127.0.0.1', port: (server.address() as net.AddressInfo).port }
-  const reader = platform.createWeightOrigin(() => address, agents, () => {})
+  const reader = platform.createOriginClient(() => address, agents, () => {})
   for (let piece = 0; piece < 3; piece += 1) assert.equal((await reader.readPiece({ model: 'm', version: 2 }, piece)).ok, true)
   assert.equal(closedSockets.length, 3)
   await Promise.all(closedSockets)
--- a/packages/daemon/src/_lib/simulatedFleet.ts
+++ b/packages/daemon/src/_lib/simulatedFleet.ts
@@ -310,7 +310,7 @@
       const configuration = testing.createConfiguration('10.0.0.9:80', 96, 'model-a', 'key-of-tenant-one')
       const [first] = configuration.routes
       for (let route = 0; route < routes; route += 1) configuration.routes.push({ ...first, name: `r-${route}`, pathPrefix: `/added/${route}/`, note: createIncompressibleText(`${version} ${route}`, ROUTE_PADDING_LENGTH) })
-      put(platform.KINDS.configuration, platform.CONFIGURATION_NAME, { ...configuration, version })
+      put(platform.OBJECT_KINDS.configuration, platform.CONFIGURATION_NAME, { ...configuration, version })
       return version
     },
     advanceUntil: async (condition, maximumMs) => {
--- a/packages/daemon/src/createBlockArchive/index.ts
+++ b/packages/daemon/src/createBlockArchive/index.ts
@@ -64,7 +64,7 @@
   function read (object: store.StoredObject): void {
     const parsed = blockSchema.safeParse(object.value)
     if (!parsed.success) {
-      logger.warn('object-unreadable', { kind: platform.KINDS.blocks, name: object.name, revision: object.revision, error: parsed.error.message })
+      logger.warn('object-unreadable', { kind: platform.OBJECT_KINDS.blocks, name: object.name, revision: object.revision, error: parsed.error.message })
       return
     }
     const { fingerprint, count, blockedAt } = parsed.data
@@ -74,7 +74,7 @@
   }
 
   async function remove ({ name, revision }: store.StoredObject): Promise<void> {
-    const removed = await options.store.remove(platform.KINDS.blocks, name, revision)
+    const removed = await options.store.remove(platform.OBJECT_KINDS.blocks, name, revision)
     if (!removed.ok) logger.info('block-not-removed', { name, error: removed.error.message })
   }
 
@@ -86,7 +86,7 @@
         await types.delay(ROLE_CHECK_INTERVAL_MS)
         continue
       }
-      const listed = await options.store.listAll(platform.KINDS.blocks)
+      const listed = await options.store.listAll(platform.OBJECT_KINDS.blocks)
       hasTriedStore = true
       if (listed.ok) {
         for (const object of listed.value.objects) read(object)
@@ -102,7 +102,7 @@
     await types.delay(SAVE_DELAY_MS)
     for (let retryDelayMs = RETRY_DELAY_MINIMUM_MS; !stopping.signal.aborted && options.isInForce(block); retryDelayMs = Math.min(RETRY_DELAY_MAXIMUM_MS, retryDelayMs * 2)) {
       const { fingerprint, count, since } = block
-      const written = await options.store.put(platform.KINDS.blocks, formatName(block), { fingerprint, count, blockedAt: options.timeOfDay() - (now() - since) }, null)
+      const written = await options.store.put(platform.OBJECT_KINDS.blocks, formatName(block), { fingerprint, count, blockedAt: options.timeOfDay() - (now() - since) }, null)
       if (written.ok || written.error instanceof types.ConflictError) return
       logger.info('block-not-saved', { fingerprint, count, error: written.error.message })
       await types.delay(retryDelayMs)
--- a/packages/daemon/src/createCopyAnswers/test.ts
+++ b/packages/daemon/src/createCopyAnswers/test.ts
@@ -14,7 +14,7 @@
 const HOST = '127.0.0.1'
 const KEY = 'key-of-tenant-one'
 const IDENTITY = { deployment: 'depozit', sharedKey: 'a-key-of-some-length' }
-const KIND = platform.KINDS.configuration
+const KIND = platform.OBJECT_KINDS.configuration
 const compress = util.promisify(zlib.gzip)
 
 function createFilledMirror (): store.Mirror {
@@ -61,7 +61,7 @@
   assert.ok(!read.ok)
   assert.match(read.error.message, /part services, not whole/)
   assert.equal(copyParts.includesPart(copyParts.partForRole(KIND, 'agent'), copyParts.partForRole(KIND, 'gateway')), false)
-  assert.equal(copyParts.includesPart(copyParts.partForRole(platform.KINDS.versions, 'agent'), copyParts.partForRole(platform.KINDS.versions, 'gateway')), true)
+  assert.equal(copyParts.includesPart(copyParts.partForRole(platform.OBJECT_KINDS.versions, 'agent'), copyParts.partForRole(platform.OBJECT_KINDS.versions, 'gateway')), true)
 })
 
 nodeTest.test('a daemon without a copy, or a request for an unknown kind or part, yields no answer', async () => {
--- a/packages/daemon/src/createFleetExchange/index.ts
+++ b/packages/daemon/src/createFleetExchange/index.ts
@@ -139,7 +139,7 @@
       store: collections,
       waitMs: computeWatchTimeoutMs(parts.settings),
       random: options.random,
-      mayWatch: () => watchDuty.mayWatch(mirror.isInitialized(), keptMirrors.get(mirror.kind)?.isReachable() ?? true, mirror.kind === platform.KINDS.configuration ? 'each-hall' : 'few-halls'),
+      mayWatch: () => watchDuty.mayWatch(mirror.isInitialized(), keptMirrors.get(mirror.kind)?.isReachable() ?? true, mirror.kind === platform.OBJECT_KINDS.configuration ? 'each-hall' : 'few-halls'),
       mayWatchChanged: async () => { await new Promise<void>((resolve) => { pendingWakes.push(resolve) }) },
       onReachabilityChange: (isReachable, reason) => { parts.logger.warn(isReachable ? 'store-regained' : 'store-lost', { kind: mirror.kind, reason }) }
     }))
--- a/packages/daemon/src/createFleetParts/index.ts
+++ b/packages/daemon/src/createFleetParts/index.ts
@@ -81,9 +81,9 @@
   const identity = { deployment: checked.deployment, sharedKey: checked.security.shared_key ?? '' }
   const steadyClock = clock.createSteadyClock(environment.clocks)
   const { now } = steadyClock
-  const configurations = store.createMirror(platform.KINDS.configuration)
-  const backEndObjects = store.createMirror(platform.KINDS.backEnds)
-  const namedVersions = store.createMirror(platform.KINDS.versions)
+  const configurations = store.createMirror(platform.OBJECT_KINDS.configuration)
+  const backEndObjects = store.createMirror(platform.OBJECT_KINDS.backEnds)
+  const namedVersions = store.createMirror(platform.OBJECT_KINDS.versions)
   const versions = createVersionRecord.createVersionRecord({ boundMs: checked.bounds.version_ms, marginMs: VERSION_MARGIN_MS, startupBoundMs: checked.role === 'agent' ? checked.bounds.version_ms : STARTUP_GRACE_MS, onBound: logBound, now })
   const routeListeners: Array<(table: gateway.RouteTable) => void> = []
   let routes: gateway.RouteTable | null = null
--- a/packages/daemon/src/createRateLimiter/size.test.ts
+++ b/packages/daemon/src/createRateLimiter/size.test.ts
@@ -41,7 +41,7 @@
     const fleet = simulatedFleet.createSimulatedFleet({ ...shape, regionBytesPerMs: 2500, datagramLossRate: 0.05 }, context.mock.timers, random)
     context.after(() => { for (const daemon of fleet.daemons) daemon.stop() })
     fleet.configure(10)
-    fleet.put(platform.KINDS.backEnds, 'i-limited', ENTRY)
+    fleet.put(platform.OBJECT_KINDS.backEnds, 'i-limited', ENTRY)
     for (const daemon of fleet.daemons) await daemon.start()
     await fleet.advance(STARTUP_MS)
     const limiters = fleet.gateways.map((each) => each.limiter())
--- a/packages/daemon/src/startAgentRole/index.ts
+++ b/packages/daemon/src/startAgentRole/index.ts
@@ -56,7 +56,7 @@
   const startedAt = now()
   const self: staging.StagingPeer = { node: types.brandId(checked.node), zone: checked.zone, address: createFleetParts.getInternalAddress(parts, checked.host) }
   const engineAddress = checked.engine.address as string
-  const engine = platform.createEngineControl(platform.parseAddress(engineAddress), parts.agents, logUnreadableReport)
+  const engine = platform.createEngineClient(platform.parseAddress(engineAddress), parts.agents, logUnreadableReport)
   const linkBytesPerSecond = checked.limits.link_megabits_per_second * BITS_PER_MEGABIT / BITS_PER_BYTE
   const uplink = staging.createPieceUplink(linkBytesPerSecond, () => (isServing() ? SERVING_LINK_SHARE : IDLE_LINK_SHARE) * (stager?.linkFraction() ?? 1), now)
   let report: gateway.EngineReport | null = null
@@ -147,7 +147,7 @@
         return fresh === null ? null : { bornAt: fresh.bornAt, held: fresh.models.get(model) ?? 0, running: fresh.running, waiting: fresh.waiting, isBusy: fresh.isBusy, sequence: fresh.sequence }
       },
       engine,
-      origin: platform.createWeightOrigin(findOrigin, parts.agents, (bytes) => { metrics.count('origin_bytes', {}, bytes) }),
+      origin: platform.createOriginClient(findOrigin, parts.agents, (bytes) => { metrics.count('origin_bytes', {}, bytes) }),
       agents: listDependableAgents,
       expectedZones: () => now() - startedAt < ZONE_DISCOVERY_MS ? checked.zones : [],
       fetchFromPeer: async (peer, id, wanted, mayRefer, { onHead, onBytes }) => {
--- a/packages/daemon/src/startAgentRole/test.ts
+++ b/packages/daemon/src/startAgentRole/test.ts
@@ -59,8 +59,8 @@
 
 nodeTest.test('corrupt pieces and manifests are fetched again', async (context) => {
   const { fleet, engines } = await openAgents(context, [1, 1])
-  fleet.origin.faults.spoilManifests = 1
-  fleet.origin.faults.spoilPieces = 3
+  fleet.origin.faults.corruptManifests = 1
+  fleet.origin.faults.corruptPieces = 3
   announceVersion(fleet, 2)
   await fleetTesting.waitUntil(() => engines.every((engine) => engine.version() === 2))
   assertWholeOrders(engines)
--- a/packages/daemon/src/startGatewayRole/lethal.test.ts
+++ b/packages/daemon/src/startGatewayRole/lethal.test.ts
@@ -31,7 +31,7 @@
   fleet.configure()
   const engines: testing.EngineStandIn[] = []
   for (let index = 0; index < ENGINES; index += 1) {
-    engines.push(await fleet.startEngine({ id: `i-${index}`, model: fleetTesting.MODEL, version: 1, events: 3, isLethal: ({ path }) => path === LETHAL_PATH, lethalAfterMs }))
+    engines.push(await fleet.startEngine({ id: `i-${index}`, model: fleetTesting.MODEL, version: 1, events: 3, crashesOn: ({ path }) => path === LETHAL_PATH, crashDelayMs: lethalAfterMs }))
   }
   const gateways: types.Address[] = []
   for (const host of HOSTS.slice(0, count)) gateways.push(await fleet.startGateway(host, [HOSTS[0]]))
@@ -56,7 +56,7 @@
 }
 
 function countEnded (engines: readonly testing.EngineStandIn[]): number {
-  return engines.filter((engine) => engine.hasEnded()).length
+  return engines.filter((engine) => engine.hasCrashed()).length
 }
 
 nodeTest.test('a call that ended three engines is not sent to a fourth one, whatever its id', async (context) => {
--- a/packages/daemon/src/startGatewayRole/test.ts
+++ b/packages/daemon/src/startGatewayRole/test.ts
@@ -171,7 +171,7 @@
 
 nodeTest.test('a call is cancelled at the engine when its caller disconnects', async (context) => {
   const { address, engines } = await openStreamService(context, 1000)
-  await fleetTesting.call(address, { path: '/stream/1', id: 's-1', headers: STREAM_HEADERS, leaveAfterMs: 100 })
+  await fleetTesting.call(address, { path: '/stream/1', id: 's-1', headers: STREAM_HEADERS, abortAfterMs: 100 })
   await fleetTesting.waitUntil(() => engines.some((engine) => engine.cancelled() > 0))
 })
 
@@ -215,10 +215,10 @@
 
 nodeTest.test('a change that was compacted away from the watch history is found by listing again', async (context) => {
   const { fleet, address } = await openPlainService(context)
-  fleet.store.faults.deafWatches = true
+  fleet.store.faults.dropsWatchEvents = true
   fleet.configure((configuration) => { configuration.routes = configuration.routes.filter((route) => route['name'] !== 'read') })
   fleet.store.compact()
-  fleet.store.faults.deafWatches = false
+  fleet.store.faults.dropsWatchEvents = false
   await fleetTesting.waitUntil(async () => (await fleetTesting.call(address, { path: '/read/1', id: 'a' })).status === 404)
 })
 
