--- a/packages/daemon/src/_lib/simulatedFleet.ts
+++ b/packages/daemon/src/_lib/simulatedFleet.ts
@@ -51,7 +51,7 @@
 
 /** A simulated fleet. */
 export interface SimulatedFleet {
-  readonly network: standins.LinkNetwork
+  readonly network: standins.SimulatedNetwork
   readonly daemons: readonly SimulatedDaemon[]
   readonly gateways: readonly SimulatedDaemon[]
   /** Writes an object to the store, as an operator or an engine does; returns the new revision of the store. */
@@ -141,8 +141,8 @@
 const REQUEST_BYTES = 400
 const STORE_RESPONSE_MS = 4
 /** Idle timeouts for answers of the store and of other daemons, the same as in production. */
-const STORE_LIMITS: standins.StreamLimits = { quietMs: 1200 }
-const PEER_LIMITS: standins.StreamLimits = { quietMs: 1000 }
+const STORE_LIMITS: standins.StreamOptions = { idleTimeoutMs: 1200 }
+const PEER_LIMITS: standins.StreamOptions = { idleTimeoutMs: 1000 }
 const SEED_COUNT = 3
 const FACT_LIFETIME_MS = 600_000
 /** Length of the text added to each additional route, so that it is as long as routes of users. */
@@ -164,11 +164,11 @@
 export function createSimulatedFleet (options: SimulatedFleetOptions, timers: MockTimers, random: () => number): SimulatedFleet {
   const now = Date.now
   const plan = listHosts(options)
-  const network = standins.createLinkNetwork({
+  const network = standins.createSimulatedNetwork({
     hosts: [{ host: STORE_HOST, region: 'region-0', bytesPerMs: STORE_BYTES_PER_MS }, ...plan.map(({ host, hall, role }) => ({ host, region: `region-${hall}`, bytesPerMs: role === 'gateway' ? GATEWAY_BYTES_PER_MS : AGENT_BYTES_PER_MS }))],
-    regionBytesPerMs: options.regionBytesPerMs,
-    nearMs: SAME_REGION_LATENCY_MS,
-    farMs: CROSS_REGION_LATENCY_MS,
+    interRegionBytesPerMs: options.regionBytesPerMs,
+    intraRegionDelayMs: SAME_REGION_LATENCY_MS,
+    interRegionDelayMs: CROSS_REGION_LATENCY_MS,
     now
   })
   const objects = new Map<string, Map<string, store.StoredObject>>()
@@ -203,16 +203,16 @@
   function createStoreClient (host: string): store.CollectionStore {
     async function answer<Value> (value: Value): Promise<types.Outcome<Value, types.UnavailableError>> {
       await types.delay(STORE_RESPONSE_MS)
-      const isDelivered = await network.carry(STORE_HOST, host, JSON.stringify(value).length, STORE_LIMITS)
+      const isDelivered = await network.sendStream(STORE_HOST, host, JSON.stringify(value).length, STORE_LIMITS)
       return isDelivered ? types.succeed(value) : types.fail(new types.UnavailableError('the answer was not complete in time'))
     }
     return {
       listAll: async (kind) => {
-        await network.carry(host, STORE_HOST, REQUEST_BYTES)
+        await network.sendStream(host, STORE_HOST, REQUEST_BYTES)
         return await answer({ objects: [...objects.get(kind)?.values() ?? []], at: revision })
       },
       watchAll: async (kind, from, waitMs) => {
-        await network.carry(host, STORE_HOST, REQUEST_BYTES)
+        await network.sendStream(host, STORE_HOST, REQUEST_BYTES)
         const endsAt = now() + waitMs
         const list = (): store.StoreEvent[] => history.filter((change) => change.kind === kind && change.event.object.revision > from).map(({ event }) => event)
         while (list().length === 0 && now() < endsAt) {
@@ -235,14 +235,14 @@
 
     async function fetchChanges (peer: string, request: spread.CopyRequest, signal: AbortSignal): ReturnType<spread.CopySyncOptions['fetchChanges']> {
       const limits = { ...PEER_LIMITS, signal }
-      if (!await network.carry(host, peer, REQUEST_BYTES, limits)) return types.fail(new types.UnavailableError('the peer was not reached in time'))
+      if (!await network.sendStream(host, peer, REQUEST_BYTES, limits)) return types.fail(new types.UnavailableError('the peer was not reached in time'))
       const other = daemons.find((each) => each.host === peer)
       const mirror = other?.parts()?.mirrors.find((each) => each.kind === request.kind)
       if (other === undefined || mirror === undefined) return types.fail(new types.UnavailableError('the peer has no copy of this kind'))
       const part = copyParts.partForRole(request.kind, role)
       const changes = mirror.changesSince(request.since)
       const bytes = sizeOf(changes, part)
-      const isDelivered = await network.carry(peer, host, bytes, limits)
+      const isDelivered = await network.sendStream(peer, host, bytes, limits)
       const partialChanges = { ...changes, objects: copyParts.extractPart(changes.objects, part) }
       return isDelivered ? types.succeed({ changes: partialChanges, bytes }) : types.fail(new types.UnavailableError('no byte of the answer arrived in time'))
     }
@@ -278,11 +278,11 @@
       },
       stop: () => { exchange?.stop() },
       suspend: () => {
-        network.cut(host)
+        network.disconnectHost(host)
         machine.suspend()
       },
       resume: () => {
-        network.join(host)
+        network.reconnectHost(host)
         machine.resume()
       },
       adjustTimeOfDay: machine.set
--- a/packages/daemon/src/createFleetExchange/size.test.ts
+++ b/packages/daemon/src/createFleetExchange/size.test.ts
@@ -81,12 +81,12 @@
   await fleet.advance(3000)
   const stopChurn = churnEngines(fleet, 200)
   await fleet.advance(2000)
-  const before = fleet.network.counts.regionBytes
+  const before = fleet.network.counts.interRegionBytes
   const startedAt = Date.now()
   const version = fleet.configure(MORE_ROUTES)
   const tookMs = await fleet.advanceUntil(() => listBehind(fleet, version).length === 0, MAXIMUM_MS)
   stopChurn()
-  const crossed = fleet.network.counts.regionBytes - before
+  const crossed = fleet.network.counts.interRegionBytes - before
   context.diagnostic(`${tookMs} ms; ${Math.round(crossed / 1000)} kB between regions in ${Date.now() - startedAt} ms; behind: ${listBehind(fleet, version).length}`)
   assert.ok(tookMs <= IN_FORCE_MS, `in force after ${tookMs} ms`)
   assert.ok(crossed <= 4_000_000, `${crossed} bytes between regions`)
@@ -100,15 +100,15 @@
   for (const daemon of fleet.daemons) daemon.stop()
   await fleet.advance(1000)
   const stopChurn = churnEngines(fleet, 50)
-  const before = fleet.daemons.map((daemon) => fleet.network.received(daemon.host))
-  const regionBefore = fleet.network.counts.regionBytes
+  const before = fleet.daemons.map((daemon) => fleet.network.getReceivedBytes(daemon.host))
+  const regionBefore = fleet.network.counts.interRegionBytes
   await startDaemons(fleet)
   const tookMs = await fleet.advanceUntil(() => listBehind(fleet, version).length + listUnconfigured(fleet).length === 0, MAXIMUM_MS)
   await fleet.advance(6000)
   stopChurn()
-  const received = fleet.daemons.map((daemon, index) => fleet.network.received(daemon.host) - (before[index] as number))
+  const received = fleet.daemons.map((daemon, index) => fleet.network.getReceivedBytes(daemon.host) - (before[index] as number))
   const agents = received.filter((_, index) => fleet.daemons[index]?.role === 'agent')
-  const crossed = fleet.network.counts.regionBytes - regionBefore
+  const crossed = fleet.network.counts.interRegionBytes - regionBefore
   context.diagnostic(`${tookMs} ms; agents took in ${Math.round(Math.max(...agents) / 1000)} kB at most, daemons ${Math.round(Math.max(...received) / 1000)} kB; ${Math.round(crossed / 1000)} kB between regions; behind: ${listBehind(fleet, version).length}; agents without one: ${listUnconfigured(fleet).length}`)
   assert.ok(tookMs <= IN_FORCE_MS, `known after ${tookMs} ms`)
   assert.ok(Math.max(...agents) <= 600_000, `an agent took in ${Math.max(...agents)} bytes`)
@@ -137,16 +137,16 @@
   fleet.configure(SMALL_ROUTES)
   await startDaemons(fleet)
   await fleet.advance(5000)
-  const before = fleet.daemons.map(({ host }) => fleet.network.received(host))
-  const regionsBefore = fleet.network.counts.regionBytes
+  const before = fleet.daemons.map(({ host }) => fleet.network.getReceivedBytes(host))
+  const regionsBefore = fleet.network.counts.interRegionBytes
   await fleet.advance(IDLE_MS)
-  const idleIn = Math.max(...fleet.daemons.map(({ host }, index) => fleet.network.received(host) - (before[index] as number))) * 1000 / IDLE_MS
-  const idleRegions = (fleet.network.counts.regionBytes - regionsBefore) * 1000 / IDLE_MS
-  const changeFrom = fleet.network.counts.regionBytes
+  const idleIn = Math.max(...fleet.daemons.map(({ host }, index) => fleet.network.getReceivedBytes(host) - (before[index] as number))) * 1000 / IDLE_MS
+  const idleRegions = (fleet.network.counts.interRegionBytes - regionsBefore) * 1000 / IDLE_MS
+  const changeFrom = fleet.network.counts.interRegionBytes
   const version = fleet.configure(routes)
   const inForceMs = await fleet.advanceUntil(() => listBehind(fleet, version).length === 0, MAXIMUM_MS)
   await fleet.advance(1000)
-  const crossed = fleet.network.counts.regionBytes - changeFrom - idleRegions * (Math.min(inForceMs, MAXIMUM_MS) + 1000) / 1000
+  const crossed = fleet.network.counts.interRegionBytes - changeFrom - idleRegions * (Math.min(inForceMs, MAXIMUM_MS) + 1000) / 1000
   for (const daemon of fleet.daemons) daemon.stop()
   context.mock.timers.reset()
   return {
@@ -209,7 +209,7 @@
   await startDaemons(fleet)
   await fleet.advance(5000)
   const cutHosts = rankHall(fleet, zone).slice(0, failing)
-  for (const host of cutHosts) fleet.network.cut(host)
+  for (const host of cutHosts) fleet.network.disconnectHost(host)
   const version = fleet.configure(SMALL_ROUTES + 1)
   const isInForce = (): boolean => listBehind(fleet, version).every((host) => cutHosts.includes(host))
   const tookMs = await fleet.advanceUntil(isInForce, MAXIMUM_MS)
--- a/packages/daemon/src/createFleetExchange/suspended.test.ts
+++ b/packages/daemon/src/createFleetExchange/suspended.test.ts
@@ -17,7 +17,7 @@
 
 async function openFleet (context: nodeTest.TestContext, isStartKnown = true): Promise<simulatedFleet.SimulatedFleet> {
   context.mock.timers.enable({ apis: ['setTimeout', 'setInterval', 'Date'], now: 1_000_000 })
-  const fleet = simulatedFleet.createSimulatedFleet({ ...SHAPE, isBootTimeAvailable: isStartKnown }, context.mock.timers, standins.createRandom(SEED))
+  const fleet = simulatedFleet.createSimulatedFleet({ ...SHAPE, isBootTimeAvailable: isStartKnown }, context.mock.timers, standins.createSeededRandom(SEED))
   context.after(() => { for (const daemon of fleet.daemons) daemon.stop() })
   fleet.configure(3)
   for (const daemon of fleet.daemons) await daemon.start()
@@ -40,7 +40,7 @@
   suspended.suspend()
   await fleet.advance(SUSPENDED_MS)
   suspended.resume()
-  fleet.network.cut(suspended.host)
+  fleet.network.disconnectHost(suspended.host)
   await fleet.advance(NOTICE_MS)
   assert.ok(Math.abs(computeRemainingSendMs(suspended) - computeRemainingSendMs(other)) < NOTICE_MS, `${computeRemainingSendMs(suspended)} ms left, elsewhere ${computeRemainingSendMs(other)}`)
 })
--- a/packages/daemon/src/createRateLimiter/size.test.ts
+++ b/packages/daemon/src/createRateLimiter/size.test.ts
@@ -37,7 +37,7 @@
   const count = shape.halls * (shape.gatewaysPerHall + shape.agentsPerHall)
   nodeTest.test(`${count} daemons enforce the rate limit of a back end`, async (context) => {
     context.mock.timers.enable({ apis: ['setTimeout', 'setInterval', 'Date'], now: 1_000_000 })
-    const random = standins.createRandom(SEED)
+    const random = standins.createSeededRandom(SEED)
     const fleet = simulatedFleet.createSimulatedFleet({ ...shape, regionBytesPerMs: 2500, datagramLossRate: 0.05 }, context.mock.timers, random)
     context.after(() => { for (const daemon of fleet.daemons) daemon.stop() })
     fleet.configure(10)
--- a/packages/gateway/src/_lib/loadSimulation.ts
+++ b/packages/gateway/src/_lib/loadSimulation.ts
@@ -117,8 +117,8 @@
 export function simulateLoad (scenario: LoadScenario): LoadResult {
   const figures = scenario.figures ?? FIGURES
   const reportIntervalsMs = scenario.reportIntervalsMs ?? REPORT_INTERVALS_MS
-  const timeline = standins.createTimeline()
-  const random = standins.createRandom(scenario.seed ?? SEED)
+  const timeline = standins.createVirtualClock()
+  const random = standins.createSeededRandom(scenario.seed ?? SEED)
   const zoneOf = (at: number): string => `hall-${at % scenario.halls}`
   const engines = Array.from({ length: scenario.engines }, (_, at) => simulatedEngine.createSimulatedEngine(`engine-${at}`, zoneOf(at), at < (scenario.slow?.count ?? 0) ? scenario.slow?.pace ?? 1 : 1, figures, timeline))
   const backEnds = engines.map(({ backEnd }) => backEnd)
--- a/packages/gateway/src/_lib/simulatedEngine.ts
+++ b/packages/gateway/src/_lib/simulatedEngine.ts
@@ -41,7 +41,7 @@
  * @param timeline - Clock of the simulation.
  * @returns The engine, idle.
  */
-export function createSimulatedEngine (id: string, zone: string, pace: number, figures: gateway.EngineFigures, timeline: standins.Timeline): SimulatedEngine {
+export function createSimulatedEngine (id: string, zone: string, pace: number, figures: gateway.EngineFigures, timeline: standins.VirtualClock): SimulatedEngine {
   const running: EngineCall[] = []
   const waiting: EngineCall[] = []
   let isInPass = false
--- a/packages/quarantine/src/_lib/crashSimulation.ts
+++ b/packages/quarantine/src/_lib/crashSimulation.ts
@@ -87,8 +87,8 @@
  * @returns The measured result.
  */
 export function simulateCrashes (scenario: CrashScenario, seed: number): CrashResult {
-  const random = standins.createRandom(seed)
-  const timeline = standins.createTimeline()
+  const random = standins.createSeededRandom(seed)
+  const timeline = standins.createVirtualClock()
   const { now } = timeline
   const engines: Engine[] = Array.from({ length: scenario.engines }, (_, life) => ({ life, running: new Set(), isDown: false }))
   let nextLife = scenario.engines
--- a/packages/rate-limits/src/_lib/limitSimulation.ts
+++ b/packages/rate-limits/src/_lib/limitSimulation.ts
@@ -76,8 +76,8 @@
  * @returns The measured result.
  */
 export async function simulateLimit (scenario: LimitScenario): Promise<LimitResult> {
-  const timeline = standins.createTimeline()
-  const random = standins.createRandom(scenario.seed ?? SEED)
+  const timeline = standins.createVirtualClock()
+  const random = standins.createSeededRandom(scenario.seed ?? SEED)
   const { now } = timeline
   const substituteFraction = scenario.substituteFraction ?? chooseCounter.SUBSTITUTE_FRACTION
   const arrivals: number[] = []
--- a/packages/spread/src/_lib/fleetTesting.ts
+++ b/packages/spread/src/_lib/fleetTesting.ts
@@ -60,7 +60,7 @@
 /** A running fleet. */
 export interface TestFleet {
   readonly daemons: readonly TestDaemon[]
-  readonly network: standins.LinkNetwork
+  readonly network: standins.SimulatedNetwork
   /** Advances the time; `each` is called after each millisecond. */
   readonly advance: (milliseconds: number, each?: (at: number) => void) => void
   /** Drops from now on all datagrams between two hosts for which the function returns true. */
@@ -163,7 +163,7 @@
   const random = createRandom()
   const planned = planDaemons(plan)
   const hosts = planned.map(({ host, region, role }) => ({ host, region, bytesPerMs: role === 'agent' ? AGENT_BYTES_PER_MS : GATEWAY_BYTES_PER_MS }))
-  const network = standins.createLinkNetwork({ hosts, regionBytesPerMs: REGION_BYTES_PER_MS, nearMs: NEAR_MS, farMs: FAR_MS, now: Date.now })
+  const network = standins.createSimulatedNetwork({ hosts, interRegionBytesPerMs: REGION_BYTES_PER_MS, intraRegionDelayMs: NEAR_MS, interRegionDelayMs: FAR_MS, now: Date.now })
   let isLinkBlocked = (_from: string, _to: string): boolean => false
   const daemons: TestDaemon[] = []
   const receivers = new Map<string, (bytes: Buffer, from: string) => void>()
@@ -248,7 +248,7 @@
     block: (next) => { isLinkBlocked = next },
     resetTraffic: () => {
       for (const { traffic } of daemons) Object.assign(traffic, { bytesIn: 0, bytesOut: 0, datagramsIn: 0, datagramsOut: 0, ticks: 0, changeBytesIn: 0 })
-      network.counts.regionBytes = 0
+      network.counts.interRegionBytes = 0
     }
   }
 }
--- a/packages/spread/src/createFactExchange/test.ts
+++ b/packages/spread/src/createFactExchange/test.ts
@@ -21,7 +21,7 @@
 
 interface Fleet {
   readonly gateways: Gateway[]
-  readonly timeline: standins.Timeline
+  readonly timeline: standins.VirtualClock
   /** Halls cut off from the others. */
   readonly cut: Set<string>
   /** Hosts that cannot be reached and send nothing. */
@@ -40,8 +40,8 @@
 const CONTACT_MS = 3000
 
 function startFleet ({ halls, gatewaysPerHall, lossFraction }: FleetShape, seed = 7): Fleet {
-  const timeline = standins.createTimeline()
-  const random = standins.createRandom(seed)
+  const timeline = standins.createVirtualClock()
+  const random = standins.createSeededRandom(seed)
   const cut = new Set<string>()
   const gone = new Set<string>()
   const { now } = timeline
--- a/packages/spread/src/createGossip/faults.test.ts
+++ b/packages/spread/src/createGossip/faults.test.ts
@@ -134,18 +134,18 @@
 nodeTest.test('a relay that freezes is replaced, and the reports of its hall continue', async (context) => {
   const fleet = await startSettled(context, SMALL)
   const [first] = findRelays(fleet, HALL)
-  fleet.network.cut(first as string)
+  fleet.network.disconnectHost(first as string)
   const age = watchFarAge(fleet, HALL, SILENT_MS)
   context.diagnostic(`reports of the hall at most ${age} ms old in others`)
   assert.ok(age <= REPLACED_MS, `${age} ms`)
-  fleet.network.join(first as string)
+  fleet.network.reconnectHost(first as string)
   assert.ok(advanceUntil(fleet, SILENT_MS, () => knowsAll(fleet, 'far') && knowsAll(fleet, 'near')) <= SILENT_MS)
 })
 
 nodeTest.test('two relays that freeze at once are replaced by their standbys', async (context) => {
   const fleet = await startSettled(context, SMALL)
   const frozen = findRelays(fleet, HALL).slice(0, relays.RELAYS_PER_HALL)
-  for (const host of frozen) fleet.network.cut(host)
+  for (const host of frozen) fleet.network.disconnectHost(host)
   const age = watchFarAge(fleet, HALL, SILENT_MS)
   context.diagnostic(`reports of the hall at most ${age} ms old in others`)
   assert.ok(age <= REPLACED_MS + USUAL_AGE_MS, `${age} ms`)
@@ -160,7 +160,7 @@
   const fleet = await startSettled(context, THREE_HALLS)
   const frozen = findRelays(fleet, HALL)
   assert.equal(frozen.length, relays.RELAY_CANDIDATES)
-  for (const host of frozen) fleet.network.cut(host)
+  for (const host of frozen) fleet.network.disconnectHost(host)
   const greatest = { out: 0, into: 0 }
   fleet.advance(FROZEN_WATCHED_MS, (at) => {
     if (at % FROZEN_SAMPLE_MS !== 0) return
@@ -195,11 +195,11 @@
   nodeTest.test(`reports within a relayed hall continue when ${name} freezes`, async (context) => {
     const fleet = await startSettled(context, RELAYED)
     const frozen = new Set(findRelays(fleet, HALL).slice(0, count))
-    for (const host of frozen) fleet.network.cut(host)
+    for (const host of frozen) fleet.network.disconnectHost(host)
     const age = watchNearAge(fleet, HALL, frozen, SILENT_MS)
     context.diagnostic(`reports at most ${age} ms old`)
     assert.ok(age <= boundMs, `${age} ms`)
-    for (const host of frozen) fleet.network.join(host)
+    for (const host of frozen) fleet.network.reconnectHost(host)
     assert.ok(advanceUntil(fleet, SILENT_MS, () => knowsAll(fleet, 'far') && knowsAll(fleet, 'near')) <= SILENT_MS)
   })
 }
@@ -208,9 +208,9 @@
 nodeTest.test('reports continue in a hall that stops using relays, and when it uses them again', async (context) => {
   const fleet = await startSettled(context, { gateways: rates.DIRECT_GATEWAYS + 1, agents: 12, halls: 1 })
   const frozen = new Set(fleet.daemons.filter(({ role }) => role === 'gateway').slice(-1).map(({ host }) => host))
-  for (const host of frozen) fleet.network.cut(host)
+  for (const host of frozen) fleet.network.disconnectHost(host)
   const out = watchNearAge(fleet, 'hall-1', frozen, FROZEN_WATCHED_MS)
-  for (const host of frozen) fleet.network.join(host)
+  for (const host of frozen) fleet.network.reconnectHost(host)
   const back = watchNearAge(fleet, 'hall-1', frozen, SILENT_MS)
   context.diagnostic(`reports at most ${out} ms old while it stops, ${back} ms while it begins`)
   assert.ok(out <= CHANGING_AGE_MS && back <= CHANGING_AGE_MS, `${out} and ${back} ms`)
@@ -275,7 +275,7 @@
 nodeTest.test('the other daemons still know each other if all seeds die after the start', async (context) => {
   const fleet = await startSettled(context, SMALL)
   const seeds = fleet.daemons.filter((daemon) => ['10.40.0.1', '10.40.0.2', '10.40.0.3'].includes(daemon.host))
-  for (const { host } of seeds) fleet.network.cut(host)
+  for (const { host } of seeds) fleet.network.disconnectHost(host)
   fleet.advance(SILENT_MS)
   for (const daemon of fleet.daemons) {
     if (seeds.includes(daemon)) continue
--- a/packages/spread/src/createGossip/traffic.test.ts
+++ b/packages/spread/src/createGossip/traffic.test.ts
@@ -55,7 +55,7 @@
   }
   const bytesIn = rate(Math.max(...fleet.daemons.map(({ traffic }) => traffic.bytesIn)))
   const bytesOut = rate(Math.max(...fleet.daemons.map(({ traffic }) => traffic.bytesOut)))
-  const text = `${fleet.daemons.length} members, ${label}, a second, mean (most): ${describeRole('gateway')}; ${describeRole('agent')}; between regions ${rate(fleet.network.counts.regionBytes)} B`
+  const text = `${fleet.daemons.length} members, ${label}, a second, mean (most): ${describeRole('gateway')}; ${describeRole('agent')}; between regions ${rate(fleet.network.counts.interRegionBytes)} B`
   return { bytesIn, bytesOut, worst: Math.max(bytesIn, bytesOut), text }
 }
 
--- a/packages/staging/src/_lib/stagingFleet.ts
+++ b/packages/staging/src/_lib/stagingFleet.ts
@@ -143,15 +143,15 @@
   const isDying = (index: number): boolean => index >= slowAgents && index < slowAgents + dying
   const rateOf = (index: number): number => LINK_BYTES_PER_MS * (index < slowAgents ? SLOW_LINK_FRACTION : linkFraction)
   const gatewayOf = (region: string): string => `gateway-${region}`
-  const network = standins.createLinkNetwork({
+  const network = standins.createSimulatedNetwork({
     hosts: [
       ...REGIONS.map((region) => ({ host: gatewayOf(region), region, bytesPerMs: GATEWAY_BYTES_PER_MS })),
       ...names.map((host, index) => ({ host, region: regionOf(index), bytesPerMs: rateOf(index) })),
       { host: ORIGIN, region: ORIGIN, bytesPerMs: originBytesPerMs }
     ],
-    regionBytesPerMs: REGION_LINK_BYTES_PER_MS,
-    nearMs: NEAR_MS,
-    farMs: FAR_MS,
+    interRegionBytesPerMs: REGION_LINK_BYTES_PER_MS,
+    intraRegionDelayMs: NEAR_MS,
+    interRegionDelayMs: FAR_MS,
     now
   })
   const running = new Map<string, SimulatedAgent>()
@@ -164,12 +164,12 @@
   }
 
   async function askOrigin (from: string, bytes: number): Promise<boolean> {
-    await network.carry(from, ORIGIN, REQUEST_BYTES)
+    await network.sendStream(from, ORIGIN, REQUEST_BYTES)
     counts.originRequests += 1
     if (counts.originOpen >= originConnections || isOriginDown()) return false
     counts.originOpen += 1
     counts.originPeak = Math.max(counts.originPeak, counts.originOpen)
-    const isCarried = await network.carry(ORIGIN, from, bytes)
+    const isCarried = await network.sendStream(ORIGIN, from, bytes)
     counts.originOpen -= 1
     return isCarried
   }
@@ -196,10 +196,10 @@
     }
     const run = async (): Promise<types.Outcome<Answer | null, types.UnavailableError>> => {
       const other = running.get(to)
-      const isDelivered = other !== undefined && await network.carry(from, to, REQUEST_BYTES, { signal: aborting.signal })
+      const isDelivered = other !== undefined && await network.sendStream(from, to, REQUEST_BYTES, { signal: aborting.signal })
       if (!isDelivered || other === undefined) return types.fail(new types.UnavailableError('cut'))
       const answered = await answer(other)
-      const carry = async (bytes: number, onArrival: (bytes: number) => void = () => {}): Promise<boolean> => !aborting.signal.aborted && await network.carry(to, from, bytes, {
+      const carry = async (bytes: number, onArrival: (bytes: number) => void = () => {}): Promise<boolean> => !aborting.signal.aborted && await network.sendStream(to, from, bytes, {
         signal: aborting.signal,
         onBytes: (arrived) => {
           restartTimeout()
@@ -341,13 +341,13 @@
 
   async function sendCall (index: number): Promise<void> {
     const sentAt = now()
-    await network.carry(gatewayOf(regionOf(index)), names[index] as string, CALL_BYTES)
+    await network.sendStream(gatewayOf(regionOf(index)), names[index] as string, CALL_BYTES)
     calls.push({ sentMs: sentAt - startedAt, tookMs: now() - sentAt })
   }
 
   function narrowLinks ({ agents, atMs, bytesPerMs }: NonNullable<SimulationOptions['narrowing']>): void {
     const narrowed = names.slice(0, agents)
-    const narrow = (): void => { for (const name of narrowed) network.setRate(name, bytesPerMs) }
+    const narrow = (): void => { for (const name of narrowed) network.setBandwidth(name, bytesPerMs) }
     if (atMs <= 0) narrow()
     else setTimeout(narrow, atMs)
     const timer = setInterval(() => { for (const index of narrowed.keys()) void sendCall(index) }, CALL_EVERY_MS)
@@ -356,7 +356,7 @@
 
   if (options.narrowing !== undefined) narrowLinks(options.narrowing)
   for (const index of names.keys()) setTimeout(() => { startAgent(index) }, 1 + Math.round(startMs * index / count))
-  setTimeout(() => { for (const [index, name] of names.entries()) if (isDying(index)) network.cut(name) }, POWER_LOSS_MS)
+  setTimeout(() => { for (const [index, name] of names.entries()) if (isDying(index)) network.disconnectHost(name) }, POWER_LOSS_MS)
   const isOver = (): boolean => running.size === count && [...running.values()].every((agent) => agent.isDying || agent.completeMs < Infinity)
   while (!isOver() && now() - startedAt < maximumMs) await advance()
   for (const stop of stops) stop()
--- a/packages/standins/src/createRandom/index.ts
+++ b/packages/standins/src/createSeededRandom/index.ts
@@ -9,7 +9,7 @@
  * @param seed - A positive integer below 2^31 - 1.
  * @returns A function that returns the next number between 0 and 1.
  */
-export function createRandom (seed: number): () => number {
+export function createSeededRandom (seed: number): () => number {
   let value = seed
   return () => {
     value = value * MULTIPLIER % MODULUS
--- a/packages/standins/src/createLinkNetwork/index.ts
+++ b/packages/standins/src/createSimulatedNetwork/index.ts
@@ -9,14 +9,14 @@
 }
 
 /** Options of a simulated network. */
-export interface LinkNetworkOptions {
+export interface SimulatedNetworkOptions {
   readonly hosts: readonly NetworkHost[]
   /** Bandwidth between two regions in bytes per millisecond, in each direction, shared by all hosts. */
-  readonly regionBytesPerMs: number
+  readonly interRegionBytesPerMs: number
   /** One-way latency within a region, in milliseconds. */
-  readonly nearMs: number
+  readonly intraRegionDelayMs: number
   /** One-way latency between two regions, in milliseconds. */
-  readonly farMs: number
+  readonly interRegionDelayMs: number
   /** Reads the clock that the timers follow, in milliseconds. */
   readonly now: () => number
 }
@@ -28,7 +28,7 @@
   /** Delivered bytes of datagrams and streams; dropped datagrams don't count. */
   bytes: number
   /** Delivered bytes that crossed between regions. */
-  regionBytes: number
+  interRegionBytes: number
 }
 
 /** A datagram socket. */
@@ -38,33 +38,33 @@
 }
 
 /** Timeouts, cancellation and progress callback of a stream; a timeout that is absent doesn't apply. */
-export interface StreamLimits {
+export interface StreamOptions {
   /** Timeout of the whole stream in milliseconds. */
-  readonly wholeMs?: number
+  readonly totalTimeoutMs?: number
   /** Timeout in milliseconds without a received byte. */
-  readonly quietMs?: number
+  readonly idleTimeoutMs?: number
   readonly signal?: AbortSignal
   /** Called with the number of bytes of each packet that arrives. */
   readonly onBytes?: (bytes: number) => void
 }
 
 /** A simulated network. */
-export interface LinkNetwork {
+export interface SimulatedNetwork {
   /** Opens the datagram socket of a host; each host has one. */
   readonly openDatagrams: (host: string, onDatagram: (bytes: Buffer, from: string) => void) => NetworkSocket
   /** Transfers a stream of `bytes` bytes; resolves to true when the last one has arrived, or to false on a timeout or abort. */
-  readonly carry: (from: string, to: string, bytes: number, limits?: StreamLimits) => Promise<boolean>
+  readonly sendStream: (from: string, to: string, bytes: number, limits?: StreamOptions) => Promise<boolean>
   /** Number of bytes that a host has received. */
-  readonly received: (host: string) => number
+  readonly getReceivedBytes: (host: string) => number
   readonly counts: NetworkCounts
   /** Disconnects a host: nothing that it sends or is sent arrives until it is reconnected. */
-  readonly cut: (host: string) => void
-  readonly join: (host: string) => void
+  readonly disconnectHost: (host: string) => void
+  readonly reconnectHost: (host: string) => void
   /** Sets the bandwidth of a host's link in each direction; it also applies to packets that are already queued. */
-  readonly setRate: (host: string, bytesPerMs: number) => void
+  readonly setBandwidth: (host: string, bytesPerMs: number) => void
   /** Disconnects a region from all others until it is reconnected. */
-  readonly cutRegion: (region: string) => void
-  readonly joinRegion: (region: string) => void
+  readonly isolateRegion: (region: string) => void
+  readonly reconnectRegion: (region: string) => void
 }
 
 /** A packet that is queued at a link or being sent over it. */
@@ -96,14 +96,14 @@
  * @param options - Hosts, bandwidths, latencies and the clock.
  * @returns The network.
  */
-export function createLinkNetwork (options: LinkNetworkOptions): LinkNetwork {
+export function createSimulatedNetwork (options: SimulatedNetworkOptions): SimulatedNetwork {
   const hosts = new Map(options.hosts.map((each) => [each.host, each]))
   const links = new Map<string, Link>()
   const sockets = new Map<string, (bytes: Buffer, from: string) => void>()
   const receivedBytes = new Map<string, number>()
   const disconnectedHosts = new Set<string>()
   const isolatedRegions = new Set<string>()
-  const counts: NetworkCounts = { datagrams: 0, droppedDatagrams: 0, bytes: 0, regionBytes: 0 }
+  const counts: NetworkCounts = { datagrams: 0, droppedDatagrams: 0, bytes: 0, interRegionBytes: 0 }
 
   function findOrCreateLink (name: string, bytesPerMs: number): Link {
     const existing = links.get(name)
@@ -126,14 +126,14 @@
   function listLinks (from: string, to: string): Link[] {
     const [sender, receiver] = [findHost(from), findHost(to)]
     const path = [findOrCreateLink(`out ${from}`, sender.bytesPerMs)]
-    if (isInterRegion(from, to)) path.push(findOrCreateLink(`${sender.region} to ${receiver.region}`, options.regionBytesPerMs))
+    if (isInterRegion(from, to)) path.push(findOrCreateLink(`${sender.region} to ${receiver.region}`, options.interRegionBytesPerMs))
     path.push(findOrCreateLink(`in ${to}`, receiver.bytesPerMs))
     return path
   }
 
   function countReceived (from: string, to: string, bytes: number): void {
     counts.bytes += bytes
-    if (isInterRegion(from, to)) counts.regionBytes += bytes
+    if (isInterRegion(from, to)) counts.interRegionBytes += bytes
     receivedBytes.set(to, (receivedBytes.get(to) ?? 0) + bytes)
   }
 
@@ -183,7 +183,7 @@
   }
 
   function getDelayMs (from: string, to: string): number {
-    return isInterRegion(from, to) ? options.farMs : options.nearMs
+    return isInterRegion(from, to) ? options.interRegionDelayMs : options.intraRegionDelayMs
   }
 
   function sendDatagram (from: string, to: string, bytes: Buffer): void {
@@ -198,17 +198,17 @@
     }, drop)
   }
 
-  async function carry (from: string, to: string, bytes: number, limits: StreamLimits = {}): Promise<boolean> {
+  async function carry (from: string, to: string, bytes: number, limits: StreamOptions = {}): Promise<boolean> {
     const path = listLinks(from, to)
     let unsent = bytes
     let inFlight = 0
     let isFinished = false
     return await new Promise((resolve) => {
-      const totalTimer = limits.wholeMs === undefined ? undefined : setTimeout(() => { end(false) }, limits.wholeMs)
+      const totalTimer = limits.totalTimeoutMs === undefined ? undefined : setTimeout(() => { end(false) }, limits.totalTimeoutMs)
       let idleTimer = startIdleTimer()
 
       function startIdleTimer (): NodeJS.Timeout | undefined {
-        return limits.quietMs === undefined ? undefined : setTimeout(() => { end(false) }, limits.quietMs)
+        return limits.idleTimeoutMs === undefined ? undefined : setTimeout(() => { end(false) }, limits.idleTimeoutMs)
       }
 
       function end (isComplete: boolean): void {
@@ -246,16 +246,16 @@
   }
 
   return {
-    carry,
+    sendStream: carry,
     counts,
-    received: (host) => receivedBytes.get(host) ?? 0,
-    cut: (host) => { disconnectedHosts.add(host) },
-    join: (host) => { disconnectedHosts.delete(host) },
-    setRate: (host, bytesPerMs) => {
+    getReceivedBytes: (host) => receivedBytes.get(host) ?? 0,
+    disconnectHost: (host) => { disconnectedHosts.add(host) },
+    reconnectHost: (host) => { disconnectedHosts.delete(host) },
+    setBandwidth: (host, bytesPerMs) => {
       for (const name of [`out ${host}`, `in ${host}`]) changeRate(findOrCreateLink(name, bytesPerMs), bytesPerMs)
     },
-    cutRegion: (region) => { isolatedRegions.add(region) },
-    joinRegion: (region) => { isolatedRegions.delete(region) },
+    isolateRegion: (region) => { isolatedRegions.add(region) },
+    reconnectRegion: (region) => { isolatedRegions.delete(region) },
     openDatagrams: (host, onDatagram) => {
       sockets.set(host, onDatagram)
       return { send: (to, bytes) => { sendDatagram(host, to, bytes) }, close: () => { sockets.delete(host) } }
--- a/packages/standins/src/createTimeline/index.ts
+++ b/packages/standins/src/createVirtualClock/index.ts
@@ -1,7 +1,7 @@
 /** Virtual clock with a queue of scheduled actions, for discrete-event simulations that don't use the runtime's clock. */
 
 /** A virtual clock with scheduled actions. */
-export interface Timeline {
+export interface VirtualClock {
   /** Current virtual time in milliseconds. */
   readonly now: () => number
   /** Schedules an action; actions with the same time run in the order in which they were scheduled. */
@@ -15,7 +15,7 @@
  *
  * @returns The clock.
  */
-export function createTimeline (): Timeline {
+export function createVirtualClock (): VirtualClock {
   const heap: Array<{ readonly time: number, readonly order: number, readonly action: () => void }> = []
   let now = 0
   let order = 0
--- a/packages/standins/src/createTimeline/test.ts
+++ b/packages/standins/src/createVirtualClock/test.ts
@@ -1,11 +1,11 @@
 import * as assert from 'node:assert/strict'
 import * as nodeTest from 'node:test'
 import * as fastCheck from 'fast-check'
-import * as createTimeline from './index.js'
+import * as createVirtualClock from './index.js'
 
 nodeTest.test('actions run in order of their times, and in scheduling order at the same time', () => {
   fastCheck.assert(fastCheck.property(fastCheck.array(fastCheck.nat(20)), (times) => {
-    const timeline = createTimeline.createTimeline()
+    const timeline = createVirtualClock.createVirtualClock()
     const calls: Array<readonly [number, number]> = []
     times.forEach((time, order) => { timeline.at(time, () => { calls.push([timeline.now(), order]) }) })
     timeline.run(Infinity)
@@ -15,7 +15,7 @@
 })
 
 nodeTest.test('the clock can advance in steps, and an action runs only when it is due', () => {
-  const timeline = createTimeline.createTimeline()
+  const timeline = createVirtualClock.createVirtualClock()
   const calls: number[] = []
   for (const time of [5, 10, 15]) timeline.at(time, () => { calls.push(timeline.now()) })
   timeline.run(4)
