--- a/packages/daemon/src/createCommonParts/index.ts
+++ b/packages/daemon/src/createCommonParts/index.ts
@@ -59,7 +59,7 @@
   const traffic: rpc.TrafficCounters = { exchanges: 0, bytes: 0 }
   const view: membership.MemberView = membership.createMemberView({
     now,
-    silenceLimit: () => membership.computeSilenceLimit(view.members().filter(({ facts }) => facts.dataHall === checked.data_hall).length)
+    computeSilenceLimitMs: () => membership.computeSilenceLimitMs(view.members().filter(({ facts }) => facts.dataHall === checked.data_hall).length)
   })
   const keeper = createTableKeeper.createTableKeeper(logger)
   keeper.onAdopt((table) => {
--- a/packages/daemon/src/createFleetExchange/index.ts
+++ b/packages/daemon/src/createFleetExchange/index.ts
@@ -72,7 +72,7 @@
     isWatching: (kind) => keptMirrors.get(kind)?.isWatching() ?? false,
     otherHallGraceMs: watchDuty.otherHallGraceMs,
     fetchChanges: options.fetchChanges,
-    onAsked: (kind, isOwnHall) => { parts.metrics.count('copies_asked', { kind, hall: formatHallLabel(isOwnHall) }) },
+    onRequest: (kind, isOwnHall) => { parts.metrics.count('copies_asked', { kind, hall: formatHallLabel(isOwnHall) }) },
     onAdopted: recordAdoptedCopy,
     onConfirmed: (kind, isOwnHall) => { parts.metrics.count('copies_confirmed', { kind, hall: formatHallLabel(isOwnHall) }) },
     onFailed: (kind, host, reason, isInvalid) => { parts.logger.warn(isInvalid ? 'copy-dropped' : 'copy-failed', { kind, host, reason }) },
--- a/packages/membership/src/computeReportTargets/index.ts
+++ b/packages/membership/src/computeReportTargets/index.ts
@@ -76,6 +76,6 @@
  * @param hallMembers - Members of the hall that are not gone.
  * @returns Milliseconds.
  */
-export function computeSilenceLimit (hallMembers: number): number {
+export function computeSilenceLimitMs (hallMembers: number): number {
   return SILENCE_LIMIT_INTERVALS * computeHeartbeatInterval(hallMembers)
 }
--- a/packages/membership/src/createMemberView/index.ts
+++ b/packages/membership/src/createMemberView/index.ts
@@ -43,7 +43,7 @@
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
   /** Returns the milliseconds of silence after which a member is no longer live; called at each refresh. {@link types.HEARTBEAT_TIMEOUT_MS} by default. */
-  readonly silenceLimit?: () => number
+  readonly computeSilenceLimitMs?: () => number
   /** Milliseconds of silence after which a single node is gone; {@link types.PLACEMENT_HOLD_MS} by default. */
   readonly nodeHoldMs?: number
   /** The same for the members of a data hall that is silent as a whole, since it may only be cut off; {@link HALL_HOLD_MS} by default. */
@@ -182,7 +182,7 @@
   }
 
   function refresh (): void {
-    silenceLimitMs = options.silenceLimit?.() ?? silenceLimitMs
+    silenceLimitMs = options.computeSilenceLimitMs?.() ?? silenceLimitMs
     for (const [node, entry] of entries) {
       setCondition(entry, computeCondition(entry))
       const isExpired = entry.condition === 'gone' && options.now() - (entry.silentSince ?? 0) > hallHoldMs + REMOVAL_DELAY_MS
--- a/packages/membership/src/createMemberView/test.ts
+++ b/packages/membership/src/createMemberView/test.ts
@@ -28,7 +28,7 @@
 
 function createView () {
   const clock = { now: 0 }
-  const view = createMemberView.createMemberView({ now: () => clock.now, silenceLimit: () => 1000, nodeHoldMs: 10_000, hallHoldMs: 100_000 })
+  const view = createMemberView.createMemberView({ now: () => clock.now, computeSilenceLimitMs: () => 1000, nodeHoldMs: 10_000, hallHoldMs: 100_000 })
   return { clock, view, condition: (node = NODE) => view.find(node)?.condition }
 }
 
--- a/packages/spread/src/createCopySync/index.ts
+++ b/packages/spread/src/createCopySync/index.ts
@@ -39,7 +39,7 @@
   readonly otherHallGraceMs: () => number
   /** Requests changes from a peer; `signal` aborts a request whose answer is no longer needed. */
   readonly fetchChanges: (host: string, request: CopyRequest, signal: AbortSignal) => Promise<types.Outcome<FetchedCopy, types.UnavailableError | InvalidCopyError>>
-  readonly onAsked: (kind: string, isOwnHall: boolean) => void
+  readonly onRequest: (kind: string, isOwnHall: boolean) => void
   readonly onAdopted: (kind: string, adopted: AdoptedCopy) => void
   /** Called when the state of a peer confirms the own copy, so that nothing needs to be copied. */
   readonly onConfirmed: (kind: string, isOwnHall: boolean) => void
@@ -211,7 +211,7 @@
     const controller = new AbortController()
     pending.set(host, controller)
     const since = needsFullCopy ? 0 : mirror.state().at
-    options.onAsked(kind, isOwnHall)
+    options.onRequest(kind, isOwnHall)
     const fetched = await options.fetchChanges(host, { kind, since }, controller.signal)
     if (controller.signal.aborted) return
     pending.delete(host)
--- a/packages/spread/src/createCopySync/test.ts
+++ b/packages/spread/src/createCopySync/test.ts
@@ -55,7 +55,7 @@
       const answer = options.answer?.(host, request, changes) ?? types.succeed(changes)
       return answer.ok ? types.succeed({ changes: answer.value, bytes: 100 }) : answer
     },
-    onAsked: () => {},
+    onRequest: () => {},
     onAdopted: () => {},
     onConfirmed: (kind) => { confirmed.push(kind) },
     onFailed: (_kind, host, reason) => { failures.push(`${host}: ${reason}`) },
