--- a/packages/observability/src/createLogger/index.ts
+++ b/packages/observability/src/createLogger/index.ts
@@ -15,12 +15,14 @@
 
 /** Options of {@link createLogger}. */
 export interface LoggerOptions {
+  /** Lowest level that is written; `info` by default. */
   readonly level?: LogLevel
   /** Receives each formatted line; writes to standard error by default. */
   readonly write?: (line: string) => void
 }
 
 const NEEDS_QUOTES = /[\s="]/
+/** Fields with such keys are written without their value. */
 const SECRET_KEY = /key$|secret|token|password/i
 
 /**
--- a/packages/observability/src/createPrometheusMetrics/index.ts
+++ b/packages/observability/src/createPrometheusMetrics/index.ts
@@ -5,10 +5,11 @@
 
 /** Counters, gauges and histograms of one process. */
 export interface PrometheusMetrics {
+  /** Adds to the counter `switchridge_NAME_total`. All calls with the same name must use the same label names. */
   readonly count: (name: string, labels?: MetricLabels, amount?: number) => void
-  /** Registers a gauge; `read` is called at each scrape. */
+  /** Registers the gauge `switchridge_NAME`; `read` is called at each scrape. */
   readonly gauge: (name: string, read: () => number) => void
-  /** Records a duration in milliseconds in a histogram. */
+  /** Records a duration in the histogram `switchridge_NAME_milliseconds`. */
   readonly observe: (name: string, milliseconds: number) => void
   /** Formats all metrics in the Prometheus text format. */
   readonly format: () => Promise<string>
@@ -29,7 +30,7 @@
   const counters = new Map<string, promClient.Counter>()
   const histograms = new Map<string, promClient.Histogram>()
 
-  function findCounter (name: string, labelNames: string[]): promClient.Counter {
+  function getOrCreateCounter (name: string, labelNames: string[]): promClient.Counter {
     const existing = counters.get(name)
     if (existing !== undefined) return existing
     const counter = new promClient.Counter({ name: `${PREFIX}${name}_total`, help: name, labelNames, registers: [registry] })
@@ -37,7 +38,7 @@
     return counter
   }
 
-  function findHistogram (name: string): promClient.Histogram {
+  function getOrCreateHistogram (name: string): promClient.Histogram {
     const existing = histograms.get(name)
     if (existing !== undefined) return existing
     const histogram = new promClient.Histogram({ name: `${PREFIX}${name}_milliseconds`, help: name, buckets: BUCKETS_MS, registers: [registry] })
@@ -46,11 +47,11 @@
   }
 
   return {
-    count: (name, countLabels = {}, amount = 1) => { findCounter(name, Object.keys(countLabels)).inc(countLabels, amount) },
+    count: (name, countLabels = {}, amount = 1) => { getOrCreateCounter(name, Object.keys(countLabels)).inc(countLabels, amount) },
     gauge: (name, read) => {
       const gauge: promClient.Gauge = new promClient.Gauge({ name: `${PREFIX}${name}`, help: name, registers: [registry], collect: () => { gauge.set(read()) } })
     },
-    observe: (name, milliseconds) => { findHistogram(name).observe(milliseconds) },
+    observe: (name, milliseconds) => { getOrCreateHistogram(name).observe(milliseconds) },
     format: async () => await registry.metrics()
   }
 }
--- a/packages/quarantine/src/_lib/crashSimulation.ts
+++ b/packages/quarantine/src/_lib/crashSimulation.ts
@@ -9,7 +9,9 @@
 export interface CrashScenario {
   readonly gateways: number
   readonly engines: number
+  /** Calls that one engine runs concurrently. */
   readonly slots: number
+  /** Time during which calls are sent; the simulation runs until all of them have ended. */
   readonly seconds: number
   /** Harmless calls per second, each with a different fingerprint. */
   readonly callsPerSecond: number
@@ -31,6 +33,7 @@
 
 /** The measured result. */
 export interface CrashResult {
+  /** Engines that were ended by crashing calls, and for other reasons. */
   readonly endedByCrashingCall: number
   readonly endedOtherwise: number
   /** Harmless calls: all, those that failed without an answer, and refusals by the quarantine. */
@@ -55,7 +58,9 @@
 interface Call {
   readonly fingerprint: computeFingerprint.CallFingerprint
   readonly isCrashing: boolean
+  /** Attempts of the gateway during the caller's current try. */
   attempts: number
+  /** Times that the caller has sent the call. */
   tries: number
 }
 
@@ -65,6 +70,7 @@
   isDown: boolean
 }
 
+/** Time within which all gateways should have learned that a call ended its third engine. */
 export const LATE_MS = 3000
 const WAVE_MS = 500
 const RESTART_MS = 3000
@@ -72,7 +78,9 @@
 const RUN_MS = [400, 2000] as const
 /** Shortest and longest time after which a crashing call ends its engine. */
 const CRASH_MS = [40, 100] as const
+/** Time after which gateways detect the end of an engine. */
 const DETECTION_MS = 6
+/** Wait of a caller before its next try. */
 const RETRY_MS = 80
 const ATTEMPTS_PER_TRY = 2
 const TRIES_PER_CALL = 2
@@ -109,8 +117,8 @@
   /** Records a report at one gateway at once, and at the others after a delay unless it is lost. */
   function noteEverywhere (gateway: number, note: (quarantine: createQuarantine.Quarantine) => void): void {
     note(quarantines[gateway] as createQuarantine.Quarantine)
-    quarantines.forEach((other, at) => {
-      if (at !== gateway && random() >= scenario.lossRate) scheduleAfter(scenario.propagationMs * (0.5 + random()), () => { note(other) })
+    quarantines.forEach((other, index) => {
+      if (index !== gateway && random() >= scenario.lossRate) scheduleAfter(scenario.propagationMs * (0.5 + random()), () => { note(other) })
     })
   }
 
--- a/packages/quarantine/src/classifyLostAttempt/index.ts
+++ b/packages/quarantine/src/classifyLostAttempt/index.ts
@@ -28,8 +28,8 @@
  * @param attempt - What is known of the attempt.
  * @returns The cause of the loss.
  */
-export function classifyLostAttempt ({ isClosedByPeer: isCutByPeer, isLeaving, probe }: LostAttempt): LossCause {
-  if (!isCutByPeer) return 'own'
+export function classifyLostAttempt ({ isClosedByPeer, isLeaving, probe }: LostAttempt): LossCause {
+  if (!isClosedByPeer) return 'own'
   if (isLeaving) return 'planned'
   if (probe === 'silent') return 'unknown'
   return probe === 'refused' ? 'ended' : 'lives'
--- a/packages/quarantine/src/createQuarantine/index.ts
+++ b/packages/quarantine/src/createQuarantine/index.ts
@@ -10,8 +10,9 @@
 /** Options of {@link createQuarantine}. */
 export interface QuarantineOptions {
   readonly limits: quarantine.QuarantineLimits
-  /** Called for each call that is blocked, with the back ends that ended while running it, as far as known. */
+  /** Called for each call that is blocked, with the back ends that ended while running it, as far as known; the list is empty for a block from another gateway or from the store. */
   readonly onBlocked: (block: quarantine.CallBlock, lives: readonly types.BackEndInstanceId[]) => void
+  /** Called for each block that is lifted early. */
   readonly onReleased: (block: quarantine.CallBlock, reason: ReleaseReason) => void
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
@@ -21,9 +22,9 @@
 export interface Quarantine {
   /** Records the end of a back end with calls that were lost; reports of other gateways about the same end are merged. */
   readonly noteEnd: (end: quarantine.BackEndTermination) => void
-  /** Records that a call was completed; returns whether to tell other gateways, since the call was blocked or is suspected of more than one end. */
+  /** Records that a call was completed at a monotonic time in milliseconds; returns whether to tell other gateways, since the call was blocked or is suspected of more than one end. */
   readonly noteServed: (call: computeFingerprint.CallFingerprint, at: number) => boolean
-  /** Adopts a block from another gateway or from the store. */
+  /** Adopts a block from another gateway or from the store, unless it has expired, is not newer than the known one, or the call was completed after it began. */
   readonly noteBlock: (block: quarantine.CallBlock) => void
   /** Milliseconds for which a call is still blocked; null if it may run. */
   readonly readBlockedMs: (call: computeFingerprint.CallFingerprint) => number | null
@@ -31,13 +32,13 @@
   readonly isActive: () => boolean
   /** All blocks in force. */
   readonly blocks: () => quarantine.CallBlock[]
-  /** Number of calls that were lost with a back end and have not been completed since. */
+  /** Number of calls that were lost with a back end whose end is stored, and that were not completed after any such loss. */
   readonly countSuspects: () => number
   /** Number of ends that are stored. */
   readonly countEnds: () => number
 }
 
-/** Computes for how many milliseconds a block lasts. */
+/** Computes for how many milliseconds a call's block number `count` lasts; the first one is number 1. */
 export function computeBlockMs (count: number, limits: Pick<quarantine.QuarantineLimits, 'blockMs' | 'maximumBlockMs'>): number {
   return Math.min(limits.maximumBlockMs, limits.blockMs * quarantine.BLOCK_FACTOR ** (count - 1))
 }
@@ -65,7 +66,7 @@
  */
 export function createQuarantine (options: QuarantineOptions): Quarantine {
   const { limits, now } = options
-  /** Oldest first. */
+  /** In the order in which they were recorded or last merged, so about oldest first. */
   const ends = new Map<types.BackEndInstanceId, quarantine.BackEndTermination>()
   const endCounts = new Map<computeFingerprint.CallFingerprint, number>()
   const servedAt = new Map<computeFingerprint.CallFingerprint, number>()
@@ -139,6 +140,7 @@
     options.onBlocked(added, [...ends.values()].filter(({ calls }) => calls.has(fingerprint)).map(({ life }) => life))
   }
 
+  /** Lifts a block that is in force. */
   function release (call: computeFingerprint.CallFingerprint, reason: ReleaseReason): void {
     const known = blocks.get(call)
     if (known === undefined || !isInForce(known)) return
--- a/packages/quarantine/src/selectCallsToBlock/index.ts
+++ b/packages/quarantine/src/selectCallsToBlock/index.ts
@@ -5,11 +5,11 @@
 /** What a gateway knows of calls; gateways with the same evidence select the same calls. */
 export interface Evidence {
   readonly ends: Iterable<quarantine.BackEndTermination>
-  /** Monotonic time in milliseconds at which a call was last completed; earlier ends don't count against it. */
+  /** Monotonic time in milliseconds at which a call was last completed, -Infinity if never; earlier ends don't count against it. */
   readonly servedAt: (call: computeFingerprint.CallFingerprint) => number
   /** Number of ends after which a call is blocked. */
   readonly requiredEnds: (call: computeFingerprint.CallFingerprint) => number
-  /** Monotonic time in milliseconds from which on ends count against a call. */
+  /** Monotonic time in milliseconds from which on ends count against a call; -Infinity if all of them do. */
   readonly countEndsFrom: (call: computeFingerprint.CallFingerprint) => number
 }
 
--- a/packages/quarantine/src/types/index.ts
+++ b/packages/quarantine/src/types/index.ts
@@ -5,7 +5,7 @@
 /** The unexpected end of a back end process, with the calls that were lost with it. */
 export interface BackEndTermination {
   readonly life: types.BackEndInstanceId
-  /** Monotonic time in milliseconds. */
+  /** Monotonic time in milliseconds at which a gateway first noticed the end. */
   readonly at: number
   /** Calls that it was running or had queued, as far as gateways have reported them. */
   readonly calls: ReadonlySet<computeFingerprint.CallFingerprint>
--- a/packages/rate-limits/src/_lib/limitSimulation.ts
+++ b/packages/rate-limits/src/_lib/limitSimulation.ts
@@ -12,7 +12,9 @@
 export interface LimitScenario {
   readonly strategy: 'shares' | 'counter'
   readonly gateways: number
+  /** The limit: requests per second from all gateways together. */
   readonly perSecond: number
+  /** Simulated time. */
   readonly seconds: number
   /** Rate of arriving calls as a multiple of the limit. */
   readonly demand: number
@@ -49,13 +51,14 @@
   readonly datagramsPerRequest: number
 }
 
-const LIFE = types.brandId<types.BackEndInstanceId>('back-end')
+const BACK_END = types.brandId<types.BackEndInstanceId>('back-end')
 const WINDOW_MS = 4000
 const STEP_MS = 1
 /** Shortest and longest one-way delay: within a data hall and between regions. */
 const NETWORK_DELAY_MS = [0.5, 3] as const
 const EXTRA_DELAY_MS = 400
 const REPLACEMENT_DELAY_MS = 2000
+/** Turns of the microtask queue after which the promises of an action have settled. */
 const MICROTASK_TURNS = 6
 const SEED = 11
 
@@ -64,7 +67,7 @@
   receive: (bytes: Buffer, from: string) => boolean
 }
 
-/** Most requests that a limit tolerates within any window of four seconds: one and a half times the rate, and five. */
+/** Most requests that a limit tolerates within any window of four seconds: one and a half times those of its rate, and five more. */
 export function computeAllowed (perSecond: number): number {
   return 6 * perSecond + 5
 }
@@ -119,8 +122,8 @@
     }
   }
 
-  function startCounter (host: string, part: number): void {
-    counters.set(host, createPermitServer.createPermitServer({ counter: createPermitCounter.createPermitCounter(now), grantableFraction: () => part, send: createSender(host), count: () => {}, now }))
+  function startCounter (host: string, fraction: number): void {
+    counters.set(host, createPermitServer.createPermitServer({ counter: createPermitCounter.createPermitCounter(now), grantableFraction: () => fraction, send: createSender(host), count: () => {}, now }))
   }
 
   function startGateway (index: number): void {
@@ -156,8 +159,8 @@
   }
 
   async function sendCall ({ permitSource }: Gateway): Promise<void> {
-    if (permitSource.waitMs(LIFE, false) > 0) return
-    const decision = await permitSource.acquire({ life: LIFE, perSecond: scenario.perSecond, receivedAt: 0 }, false)
+    if (permitSource.waitMs(BACK_END, false) > 0) return
+    const decision = await permitSource.acquire({ life: BACK_END, perSecond: scenario.perSecond, receivedAt: 0 }, false)
     if (decision.isGranted) scheduleAt(computeSendTime(), () => { arrivals.push(now()) })
   }
 
--- a/packages/rate-limits/src/chooseCounter/index.ts
+++ b/packages/rate-limits/src/chooseCounter/index.ts
@@ -6,6 +6,7 @@
 export interface CounterCandidate {
   readonly node: types.NodeId
   readonly host: string
+  /** Data hall. */
   readonly zone: string
   readonly role: 'gateway' | 'agent'
   readonly isLive: boolean
@@ -16,6 +17,7 @@
 export interface RateLimitedBackEnd {
   readonly life: types.BackEndInstanceId
   readonly host: string
+  /** Data hall. */
   readonly zone: string
 }
 
@@ -27,13 +29,14 @@
 
 /**
  * Fraction of the limit that a gateway grants when it substitutes for an unreachable agent. If only some daemons have lost the agent, both grant permits, and
- * together they must stay within the burst that a limit tolerates.
+ * together they must stay within what a limit tolerates: in any four seconds one and a half times the requests of its rate, and five more.
  */
 export const SUBSTITUTE_FRACTION = 0.25
 
 /**
  * Chooses the counter: the agent on the back end's host. If there is none or it is not live, the first gateway of the back end's data hall by rendezvous
- * hashing, or of all halls if its own has no gateway. Daemons with the same view of the members make the same choice.
+ * hashing, or of all halls if its own has no gateway. A gateway may grant the whole limit if
+ * there is no agent, and {@link SUBSTITUTE_FRACTION} of it if there is one. Daemons with the same view of the members make the same choice.
  *
  * @param backEnd - The back end.
  * @param candidates - All known daemons, including the caller's own.
--- a/packages/rate-limits/src/createPermitClient/index.ts
+++ b/packages/rate-limits/src/createPermitClient/index.ts
@@ -10,8 +10,11 @@
   readonly ownHost: string
   /** Grants the permits of back ends whose counter is this daemon. */
   readonly counter: createPermitCounter.PermitCounter
+  /** Returns the counter of a back end; null if no daemon qualifies. */
   readonly findCounter: (life: types.BackEndInstanceId) => chooseCounter.ChosenCounter | null
+  /** Sends a datagram to the daemon on a host. */
   readonly send: (host: string, bytes: Buffer) => void
+  /** Increments a metric. */
   readonly count: (name: string, labels?: Readonly<Record<string, string>>) => void
   /** Runs an action at a monotonic time in milliseconds; returns a function that cancels it. */
   readonly at: (time: number, action: () => void) => () => void
--- a/packages/rate-limits/src/createPermitCounter/index.ts
+++ b/packages/rate-limits/src/createPermitCounter/index.ts
@@ -14,11 +14,11 @@
   readonly take: (limit: rateLimits.RateLimit & { readonly perSecond: number }, part: number, isLate?: boolean) => rateLimits.PermitDecision
 }
 
-/** A back end with a lower limit still gets one request every five seconds: without responses the end of the limit would go unnoticed. */
+/** Lowest rate, one request every five seconds, whatever the limit: without responses from the back end the end of its limit would go unnoticed. */
 const MINIMUM_PER_SECOND = 0.2
 /**
- * Burst capacity: unused permits of a quarter of a second and one more, so that short lulls don't waste the limit. This leaves half of the burst that a limit
- * tolerates to requests in flight.
+ * Burst capacity of the token bucket: the permits of a quarter of a second and one more. Unused permits are kept up to it, so that short lulls don't waste the
+ * limit. It leaves half of the burst that a limit tolerates to requests in flight.
  */
 const BURST_SECONDS = 0.25
 const MINIMUM_BURST = 1
@@ -27,6 +27,7 @@
  * can still meet their target time, and hardly any would where all back ends are limited.
  */
 const LATE_FILL_FRACTION = 0.9
+/** Wait that a refused late call is told. */
 const LATE_WAIT_MS = 300
 /** Longest wait behind other waiting gateways, however many there are: some of them may have no call left. */
 const MAXIMUM_WAIT_MS = 1000
@@ -36,9 +37,10 @@
 interface LimitState {
   readonly bucket: types.TokenBucket
   limit: rateLimits.RateLimit
+  /** Permits per second that this daemon may grant. */
   rate: number
   requestedAt: number
-  /** The latest time at which a refused gateway was told to ask again. */
+  /** The latest of the times at which refused gateways were told to ask again. */
   lastRetryAt: number
 }
 
@@ -60,8 +62,8 @@
     return state
   }
 
-  /** Milliseconds until a permit is expected beyond those for which other gateways already wait. */
-  function computeWaitMs (state: LimitState): number {
+  /** Queues a refused gateway behind those that already wait; returns the milliseconds until it should ask again. */
+  function assignWaitMs (state: LimitState): number {
     const nextAt = now() + state.bucket.waitMs()
     const queuedAt = Math.max(nextAt, state.lastRetryAt + types.MILLISECONDS_IN_SECOND / state.rate)
     state.lastRetryAt = Math.max(nextAt, Math.min(queuedAt, now() + MAXIMUM_WAIT_MS))
@@ -78,7 +80,7 @@
       state.bucket.setRate(state.rate, capacity)
       if (isLate) return state.bucket.tryTake(Math.max(1, LATE_FILL_FRACTION * capacity)) ? { isGranted: true } : { isGranted: false, waitMs: LATE_WAIT_MS }
       if (state.bucket.tryTake()) return { isGranted: true }
-      return { isGranted: false, waitMs: computeWaitMs(state) }
+      return { isGranted: false, waitMs: assignWaitMs(state) }
     }
   }
 }
--- a/packages/rate-limits/src/createPermitServer/index.ts
+++ b/packages/rate-limits/src/createPermitServer/index.ts
@@ -8,7 +8,9 @@
   readonly counter: createPermitCounter.PermitCounter
   /** Fraction of the limit that this daemon may grant; null if another daemon is the counter. */
   readonly grantableFraction: (life: types.BackEndInstanceId) => number | null
+  /** Sends a datagram to the daemon on a host. */
   readonly send: (host: string, bytes: Buffer) => void
+  /** Increments a metric. */
   readonly count: (name: string, labels?: Readonly<Record<string, string>>) => void
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
@@ -20,7 +22,7 @@
   readonly receive: (bytes: Buffer, from: string) => boolean
 }
 
-/** Wait that is replied if another daemon is the counter in this one's view; the requesting daemon will soon see the same. */
+/** Wait in the reply of a daemon that does not consider itself the counter; the requesting daemon's view will soon agree. */
 const NOT_COUNTER_WAIT_MS = 300
 /** A request that is received again within this time gets the same reply and takes no second permit. */
 const DUPLICATE_WINDOW_MS = 1000
@@ -36,7 +38,7 @@
  * @param options - The counter, transport, metrics and clock.
  * @returns The server.
  */
-export function createPermitServer ({ counter, grantableFraction: partOf, send, count, now }: PermitServerOptions): PermitServer {
+export function createPermitServer ({ counter, grantableFraction, send, count, now }: PermitServerOptions): PermitServer {
   /** Oldest first. */
   const recentReplies = new Map<string, SentReply>()
 
@@ -48,12 +50,12 @@
   }
 
   function answerRequest ({ requestId, life, perSecond, ageMs, isLate }: permitWire.PermitRequest): permitWire.PermitReply {
-    const part = partOf(life)
-    if (part === null) {
+    const fraction = grantableFraction(life)
+    if (fraction === null) {
       count('permits_answered', { answer: 'elsewhere' })
       return { requestId, waitMs: NOT_COUNTER_WAIT_MS }
     }
-    const decision = counter.take({ life, perSecond, receivedAt: now() - ageMs }, part, isLate)
+    const decision = counter.take({ life, perSecond, receivedAt: now() - ageMs }, fraction, isLate)
     count('permits_answered', { answer: decision.isGranted ? 'granted' : 'refused' })
     return { requestId, waitMs: decision.isGranted ? 0 : decision.waitMs }
   }
--- a/packages/rate-limits/src/createRateLimitRecord/index.ts
+++ b/packages/rate-limits/src/createRateLimitRecord/index.ts
@@ -19,7 +19,7 @@
   readonly onChange: (change: RateLimitChange) => void
   /** Called with an advertised limit that can't be parsed, but not again while the text stays the same. */
   readonly onUnreadable: (life: types.BackEndInstanceId, text: string) => void
-  /** Broadcasts a limit that is new to this daemon or was not broadcast for a while to all other gateways. */
+  /** Broadcasts a limit to all other gateways: one that is new to this daemon, or that was not broadcast for a while. */
   readonly broadcast: (limit: rateLimits.RateLimit) => void
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
@@ -47,7 +47,7 @@
   readonly retainOnly: (lives: ReadonlySet<types.BackEndInstanceId>) => void
 }
 
-/** An unchanged limit is broadcast again after this time, for daemons that missed the first broadcast and its repairs. */
+/** An unchanged limit is broadcast again after this time, for daemons that the earlier broadcast and the repair of lost broadcasts did not reach. */
 const REBROADCAST_MS = 30_000
 /**
  * Shortest time between broadcasts of a limit that changes: all daemons store each broadcast for a while, so a limit that changes often must not be sent each
@@ -68,7 +68,7 @@
  * @param options - Listeners, broadcast and clock.
  * @returns The record.
  */
-export function createRateLimitRecord ({ onChange, onUnreadable, broadcast: tell, now }: RateLimitRecordOptions): RateLimitRecord {
+export function createRateLimitRecord ({ onChange, onUnreadable, broadcast, now }: RateLimitRecordOptions): RateLimitRecord {
   const entries = new Map<types.BackEndInstanceId, Entry>()
   const unreadableTexts = new Map<types.BackEndInstanceId, string>()
 
@@ -92,7 +92,7 @@
     const wasBroadcast = entry !== undefined && wasBroadcastRecently(entry, perSecond)
     const limit = { life, perSecond, receivedAt: now() }
     set(limit, 'answer', wasBroadcast ? entry.broadcastAt : now())
-    if (!wasBroadcast) tell(limit)
+    if (!wasBroadcast) broadcast(limit)
   }
 
   /**
@@ -104,7 +104,7 @@
     if (entry === undefined || entry.limit.perSecond === null || sentAt <= entry.limit.receivedAt) return
     const limit = { life, perSecond: null, receivedAt: now() }
     set(limit, 'answer', now())
-    tell(limit)
+    broadcast(limit)
   }
 
   return {
--- a/packages/rpc/src/createHttpAgents/index.ts
+++ b/packages/rpc/src/createHttpAgents/index.ts
@@ -18,7 +18,7 @@
   readonly noKeepAlive: { readonly http: http.Agent, readonly https: https.Agent }
   /** Scheme of requests to other daemons. */
   readonly scheme: 'http' | 'https'
-  /** Makes exactly these endpoints unreachable to simulate a network partition, for drills and tests. */
+  /** Makes exactly these endpoints, given as `host:port`, unreachable to simulate a network partition, for drills and tests. */
   readonly block: (endpoints: ReadonlySet<string>) => void
   readonly destroy: () => void
 }
--- a/packages/rpc/src/createIdentity/index.ts
+++ b/packages/rpc/src/createIdentity/index.ts
@@ -9,7 +9,7 @@
 /** Identity of a process within its deployment. */
 export interface Identity {
   readonly deployment: string
-  /** Shared key of the deployment; empty when none is set. */
+  /** Shared key of the deployment; if empty, none is sent or checked. */
   readonly sharedKey: string
 }
 
--- a/packages/rpc/src/createRpcClient/index.ts
+++ b/packages/rpc/src/createRpcClient/index.ts
@@ -7,6 +7,7 @@
 
 /** Counters of RPC traffic with other daemons, compared with the budget of control traffic. */
 export interface TrafficCounters {
+  /** Calls sent or received. */
   exchanges: number
   /** Bytes of request and response bodies. */
   bytes: number
@@ -15,17 +16,20 @@
 /** Calls methods of other daemons. */
 export interface RpcClient {
   /**
+   * Calls a method.
+   *
    * @param address - The other daemon.
    * @param method - Method name.
    * @param params - Parameters, serializable as JSON.
-   * @param timeoutMs - Milliseconds until the call fails as unavailable.
+   * @param timeoutMs - Milliseconds until the call fails as unavailable; 2000 by default.
+   * @returns The result of the method, or the reason for the failure. After an `UnavailableError` it is unknown whether the method ran.
    */
   readonly call: <Result>(address: types.Address, method: string, params: unknown, timeoutMs?: number) => Promise<types.Outcome<Result, RpcFailure>>
 }
 
 export type RpcFailure = types.UnavailableError | RpcRefusedError
 
-/** The other daemon received the call and refused it. */
+/** The other daemon received the call and refused it, or its method threw an error. */
 export class RpcRefusedError extends types.SwitchridgeError {}
 
 export const RPC_PATH = '/rpc'
--- a/packages/rpc/src/listenHttp/index.ts
+++ b/packages/rpc/src/listenHttp/index.ts
@@ -12,6 +12,7 @@
   readonly port: number
   /** Server key material; clients must then present a certificate of the same authority. */
   readonly tls?: agents.TlsMaterial
+  /** Largest size of the request headers; 16 KiB by default. */
   readonly maxHeaderBytes?: number
 }
 
@@ -33,6 +34,7 @@
  * @param handler - Request handler, for example a koa callback.
  * @param options - Address and key material.
  * @returns The listening server.
+ * @throws If it can't listen on the address.
  */
 export async function listenHttp (handler: http.RequestListener, options: ListenOptions): Promise<HttpListener> {
   const server = createServer(handler, options)
--- a/packages/settings/src/_lib/schema.ts
+++ b/packages/settings/src/_lib/schema.ts
@@ -1,4 +1,4 @@
-/** The schema of the daemon's settings file. */
+/** Schema of the settings file of an entry node or a backend server's node. */
 import * as zod from 'zod'
 import * as quarantine from './quarantine.js'
 
@@ -77,5 +77,5 @@
   }
 })
 
-/** Validated settings of a daemon. */
+/** Validated settings of the daemon on an entry node or a backend server's node. */
 export type Settings = zod.infer<typeof settingsSchema>
--- a/packages/settings/src/parseSettings/index.ts
+++ b/packages/settings/src/parseSettings/index.ts
@@ -1,4 +1,4 @@
-/** Parses a settings file and reports all violations at once. */
+/** Parses the settings of an entry node or a backend server's node and reports all violations at once. */
 import type * as types from '@switchridge/types'
 import * as parseToml from '../_lib/parseToml.js'
 import * as schema from '../_lib/schema.js'
--- a/packages/store/src/createLease/index.ts
+++ b/packages/store/src/createLease/index.ts
@@ -27,16 +27,17 @@
 
 /** A lease that this process can hold on one name. */
 export interface Lease {
-  /** Acquires or renews the lease; returns its generation. */
+  /** Acquires or renews the lease; returns its generation. After an `UnavailableError` the lease may have been written nevertheless; acquiring it again is safe. */
   readonly acquire: () => Promise<types.Outcome<number, LeaseHeldError | types.UnavailableError>>
   /** The generation while the lease is valid by the monotonic clock, otherwise null. */
   readonly currentGeneration: () => number | null
-  /** Releases the lease, so that the next holder need not wait for it to expire. */
+  /** Releases the lease, so that the next holder need not wait for it to expire. Failures are ignored: the lease then expires. */
   readonly release: () => Promise<void>
 }
 
 /** Options of {@link createLease}. */
 export interface LeaseOptions {
+  /** Milliseconds until the lease expires unless it is renewed. */
   readonly durationMs: number
   /** Safety margin: the holder stops using its lease this many milliseconds before it expires. */
   readonly marginMs: number
@@ -80,6 +81,7 @@
     return await writeLease(record.data.generation + 1, { version: found.value.version })
   }
 
+  /** Milliseconds until the lease has expired, counted by the local clock from when its current version was first seen. */
   function computeWaitMs (record: LeaseRecord, version: number): number {
     if (record.released || options.preemptsHolder === true) return 0
     if (observed?.version !== version) observed = { version, observedAt: options.now() }
--- a/packages/store/src/createMemoryObjectStore/index.ts
+++ b/packages/store/src/createMemoryObjectStore/index.ts
@@ -7,13 +7,14 @@
   readonly resolve: () => void
 }
 
+/** Longest wait of a watch. */
 const WATCH_WAIT_MS = 10_000
 
 /** An in-memory store that can be restored to an earlier copy. */
 export interface MemoryObjectStore extends platform.ObjectStore {
   /** Copies all objects. */
   readonly snapshot: () => ReadonlyMap<string, platform.VersionedObject>
-  /** Replaces all objects by a copy, like a platform restored from a backup. */
+  /** Replaces all objects by a copy, like a platform restored from a backup. Watches that wait are not notified. */
   readonly restore: (objects: ReadonlyMap<string, platform.VersionedObject>) => void
 }
 
--- a/packages/store/src/createMirror/index.ts
+++ b/packages/store/src/createMirror/index.ts
@@ -13,6 +13,7 @@
 /** A change reported by a watch. */
 export interface StoreEvent {
   readonly object: StoredObject
+  /** Whether the object was removed. */
   readonly isGone: boolean
 }
 
@@ -60,17 +61,23 @@
   readonly gone: readonly string[]
 }
 
-/** Result of applying changes: `unfit` means that a full copy is needed, `false-digest` that the sender's full copy contradicts its digest. */
+/**
+ * Result of applying changes: `older` means that they are not newer than the mirror or of another kind, `unfit` that they don't continue from its state and a
+ * full copy is needed, `false-digest` that the sender's full copy contradicts its digest.
+ */
 export type ApplyResult = 'applied' | 'older' | 'unfit' | 'false-digest'
 
 /** A local copy of the objects of one kind. */
 export interface Mirror {
   readonly kind: string
+  /** The objects by name. */
   readonly objects: () => ReadonlyMap<string, StoredObject>
   readonly state: () => MirrorState
   /** Whether the mirror has received a list or a full copy. */
   readonly isInitialized: () => boolean
+  /** Replaces the content by a list, unless the list is older. */
   readonly applyList: (listed: ListedObjects) => void
+  /** Applies the events of a watch, unless they are not newer or the mirror is not initialized. */
   readonly applyEvents: (watched: WatchedEvents) => void
   /** Advances to the later revision of a copy with equal content; returns whether it did. Listeners are not called. */
   readonly advanceIfEqual: (state: MirrorState) => boolean
@@ -99,7 +106,7 @@
 export function createMirror (kind: string): Mirror {
   let objects = new Map<string, StoredObject>()
   let state: MirrorState = { at: 0, digest: digestObjects.digestObjects([]) }
-  let isKnown = false
+  let isInitialized = false
   /** Revisions at which removals of names were observed, oldest first. */
   const removals = new Map<string, number>()
   /** Removals after this revision are known. */
@@ -117,13 +124,13 @@
 
   /** Replaces the content and records removals; calls the listeners only if the content differs. */
   function replaceContent (next: Map<string, StoredObject>, at: number, digest = digestObjects.digestObjects(next.values())): void {
-    if (!isKnown) removalsKnownFrom = at
+    if (!isInitialized) removalsKnownFrom = at
     for (const name of objects.keys()) if (!next.has(name)) recordRemoval(name, at)
     for (const name of removals.keys()) if (next.has(name)) removals.delete(name)
-    const hasChanged = !isKnown || digest !== state.digest
+    const hasChanged = !isInitialized || digest !== state.digest
     objects = next
     state = { at, digest }
-    isKnown = true
+    isInitialized = true
     if (hasChanged) for (const listener of listeners) listener()
   }
 
@@ -142,12 +149,13 @@
   }
 
   function applyEvents (watched: WatchedEvents): void {
-    if (!isKnown || watched.at <= state.at) return
+    if (!isInitialized || watched.at <= state.at) return
     const next = new Map(objects)
     for (const event of watched.events) applyEvent(next, event)
     replaceContent(next, watched.at)
   }
 
+  /** Applies one event. An object that the mirror lacks is not added by an event that its revision already includes: it was removed since. */
   function applyEvent (next: Map<string, StoredObject>, event: StoreEvent): void {
     const { name, revision } = event.object
     const known = next.get(name)
@@ -165,7 +173,7 @@
   }
 
   function changesSince (since: number): MirrorChanges {
-    if (!isKnown || since < removalsKnownFrom) return { kind, since: 0, ...state, objects: [...objects.values()], gone: [] }
+    if (!isInitialized || since < removalsKnownFrom) return { kind, since: 0, ...state, objects: [...objects.values()], gone: [] }
     const changed = [...objects.values()].filter((object) => object.revision > since)
     const gone = [...removals].filter(([, at]) => at > since).map(([name]) => name)
     return { kind, since: findLastChangeUpTo(since), ...state, objects: changed, gone }
@@ -197,9 +205,9 @@
     applyChanges,
     objects: () => objects,
     state: () => state,
-    isInitialized: () => isKnown,
+    isInitialized: () => isInitialized,
     advanceIfEqual: (other) => {
-      if (!isKnown || other.at <= state.at || other.digest !== state.digest) return false
+      if (!isInitialized || other.at <= state.at || other.digest !== state.digest) return false
       state = { at: other.at, digest: state.digest }
       return true
     },
--- a/packages/store/src/createMirror/test.ts
+++ b/packages/store/src/createMirror/test.ts
@@ -65,8 +65,8 @@
       if (step === 'confirm') own.mirror.advanceIfEqual(state)
       else if (step === 'whole') own.mirror.applyChanges(peer.mirror.changesSince(0))
       else if (step === 'changes') {
-        const verdict = own.mirror.applyChanges(peer.mirror.changesSince(Math.min(since, before.at)))
-        if (verdict === 'applied') applied += 1
+        const result = own.mirror.applyChanges(peer.mirror.changesSince(Math.min(since, before.at)))
+        if (result === 'applied') applied += 1
       } else applyStep(own, history, step, Math.min(to, history.length))
       const after = own.mirror.state()
       assert.ok(after.at >= before.at)
--- a/packages/store/src/syncMirror/index.ts
+++ b/packages/store/src/syncMirror/index.ts
@@ -20,12 +20,13 @@
 
 /** A running synchronization of a mirror. */
 export interface MirrorSync {
-  /** Whether the store is reachable, by the last request to it. */
+  /** Whether the store is reachable, judged by the last request to it; true before the first one. */
   readonly isReachable: () => boolean
   /** Whether the store is reachable and the mirror may send requests to it. */
   readonly isWatching: () => boolean
   /** Abandons the current watch and starts a new one: after the machine was suspended, its connection may be dead, which the watch would notice only at the end of its wait. */
   readonly restartWatch: () => void
+  /** Sends no further requests; the one under way is not aborted. */
   readonly stop: () => void
 }
 
@@ -49,9 +50,9 @@
   const { mirror, store } = options
   const stopping = new AbortController()
   let isReachable = true
-  let isWaiting = false
+  let isPaused = false
   let isHistoryGone = false
-  let isJustListed = false
+  let hasJustListed = false
   let failures = 0
   /** Revision of the last successful list or watch. */
   let lastRevision = 0
@@ -79,15 +80,15 @@
     }
     recordSuccess()
     isHistoryGone = false
-    isJustListed = true
+    hasJustListed = true
     lastRevision = listed.value.at
     mirror.applyList(listed.value)
   }
 
   /** Watches from the revision just listed, or from the mirror's revision, which peers may have advanced. */
   async function watch (): Promise<void> {
-    const from = isJustListed ? lastRevision : Math.max(lastRevision, Math.floor(mirror.state().at))
-    isJustListed = false
+    const from = hasJustListed ? lastRevision : Math.max(lastRevision, Math.floor(mirror.state().at))
+    hasJustListed = false
     const waitMs = Math.round(types.jitter(options.waitMs, MINIMUM_WAIT_FRACTION, options.random()))
     const watched = await Promise.race([store.watchAll(mirror.kind, from, waitMs), new Promise<null>((resolve) => { cancelWatch = () => { resolve(null) } })])
     if (watched === null) return
@@ -105,13 +106,13 @@
 
   async function run (): Promise<void> {
     while (!stopping.signal.aborted) {
-      isWaiting = !options.mayWatch()
-      if (isWaiting) await options.mayWatchChanged()
+      isPaused = !options.mayWatch()
+      if (isPaused) await options.mayWatchChanged()
       else if (isHistoryGone || !mirror.isInitialized()) await list()
       else await watch()
     }
   }
 
   void run()
-  return { isReachable: () => isReachable, isWatching: () => isReachable && !isWaiting, restartWatch: () => { cancelWatch() }, stop: () => { stopping.abort() } }
+  return { isReachable: () => isReachable, isWatching: () => isReachable && !isPaused, restartWatch: () => { cancelWatch() }, stop: () => { stopping.abort() } }
 }
--- a/packages/table/src/applyChanges/index.ts
+++ b/packages/table/src/applyChanges/index.ts
@@ -3,7 +3,7 @@
 import * as parseTable from '../parseTable/index.js'
 import * as sections from '../_lib/sections.js'
 
-/** A cell that was changed by another edit since it was read. */
+/** A cell that another edit has changed: `read` is the value that the editor read, `found` the current one, `wanted` the one to be written. */
 export interface CellConflict {
   readonly place: string
   readonly read: types.CellValue
--- a/packages/table/src/editTable/index.ts
+++ b/packages/table/src/editTable/index.ts
@@ -31,7 +31,9 @@
 
 /** Options of {@link editTable}. */
 export interface EditOptions {
+  /** Maximum number of attempts. */
   readonly attempts?: number
+  /** Base of the exponential backoff between attempts, in milliseconds. */
   readonly backoffMs?: number
   /** Lower bound that the new revision exceeds, for a platform restored from an old copy. */
   readonly revisionFloor?: number
--- a/packages/table/src/editTable/test.ts
+++ b/packages/table/src/editTable/test.ts
@@ -31,7 +31,7 @@
     assert.deepEqual(conflicting.error.conflicts, [{ place: 'service/llm.concurrency', read: 8, found: 9, wanted: 10 }])
   })
 
-  test.it('recognises its own write after a lost response, even if another edit followed', async () => {
+  test.it('recognizes its own write after a lost response, even if another edit followed', async () => {
     const store = await openStore()
     let lost = 0
     const lossy: platform.ObjectStore = {
--- a/packages/table/src/parseAssignments/index.ts
+++ b/packages/table/src/parseAssignments/index.ts
@@ -28,26 +28,26 @@
  * Converts assignments to cell changes relative to the table as read.
  *
  * @param table - The table as read.
- * @param place - The row.
+ * @param reference - The row.
  * @param assignments - Assignments `column=value`; an empty value clears the cell.
  * @returns The changes that differ from the table, or the invalid assignments.
  * @example
  * parseAssignments(table, { section: 'models', row: 'assistant' }, ['priority=5', 'targets=all'])
  */
-export function parseAssignments (table: types.Table, place: RowReference, assignments: readonly string[]): types.Outcome<readonly types.CellChange[], types.InvalidInputError> {
-  const columns = Object.keys(schema.ROW_SCHEMAS[place.section].shape)
-  const current = sections.readCells(table, place.section).find((row) => row['id'] === place.row)
+export function parseAssignments (table: types.Table, reference: RowReference, assignments: readonly string[]): types.Outcome<readonly types.CellChange[], types.InvalidInputError> {
+  const columns = Object.keys(schema.ROW_SCHEMAS[reference.section].shape)
+  const current = sections.readCells(table, reference.section).find((row) => row['id'] === reference.row)
   const problems: types.InputProblem[] = []
   const changes: types.CellChange[] = []
-  if (current === undefined) changes.push({ ...place, column: 'id', before: null, after: place.row })
+  if (current === undefined) changes.push({ ...reference, column: 'id', before: null, after: reference.row })
   for (const assignment of assignments) {
     const separator = assignment.indexOf('=')
     const column = assignment.slice(0, separator)
     if (separator < 1 || column === 'id' || !columns.includes(column)) {
-      problems.push({ place: sections.formatPlace(place.section, place.row), given: JSON.stringify(assignment), allowed: `column=value with a column of ${columns.join(', ')}` })
+      problems.push({ place: sections.formatPlace(reference.section, reference.row), given: JSON.stringify(assignment), allowed: `column=value with a column of ${columns.join(', ')}` })
       continue
     }
-    const change = { ...place, column, before: current?.[column] ?? null, after: parseValue(place.section, column, assignment.slice(separator + 1)) }
+    const change = { ...reference, column, before: current?.[column] ?? null, after: parseValue(reference.section, column, assignment.slice(separator + 1)) }
     if (change.before !== change.after) changes.push(change)
   }
   return problems.length > 0 ? types.fail(new types.InvalidInputError('table', problems)) : types.succeed(changes)
@@ -56,11 +56,11 @@
 /**
  * Creates the change that removes a row.
  *
- * @param place - The row.
+ * @param reference - The row.
  * @returns The change.
  */
-export function removeRow (place: RowReference): types.CellChange {
-  return { ...place, column: 'id', before: place.row, after: null }
+export function removeRow (reference: RowReference): types.CellChange {
+  return { ...reference, column: 'id', before: reference.row, after: null }
 }
 
 /** Parses a cell by the schema of its column, so that numbers compare equal to the stored cells. */
--- a/packages/table/src/readAudit/index.ts
+++ b/packages/table/src/readAudit/index.ts
@@ -12,6 +12,7 @@
  * @param store - The platform's object API.
  * @param fromRevision - First revision to return.
  * @returns The entries in ascending order of revision.
+ * @throws If a stored entry does not match the schema.
  */
 export async function readAudit (store: platform.ObjectStore, fromRevision: number): Promise<types.Outcome<readonly types.AuditEntry[], types.UnavailableError | types.InvalidInputError>> {
   const current = await editTable.readTable(store)
--- a/packages/types/src/createTokenBucket/index.ts
+++ b/packages/types/src/createTokenBucket/index.ts
@@ -17,9 +17,9 @@
 export interface TokenBucket {
   /** Sets the rate in tokens per second and the capacity, from now on. */
   readonly setRate: (perSecond: number, capacity: number) => void
-  /** Takes one token if the bucket holds at least `minimum` tokens, 1 by default; returns whether it did. */
+  /** Takes one token if the bucket holds at least `minimum` tokens, which is 1 by default and not less; returns whether it did. */
   readonly tryTake: (minimum?: number) => boolean
-  /** Milliseconds until a token is available. */
+  /** Milliseconds until a token is available; Infinity at a rate of 0. */
   readonly waitMs: () => number
 }
 
--- a/packages/types/src/ids/index.ts
+++ b/packages/types/src/ids/index.ts
@@ -1,4 +1,4 @@
-/** Branded id types: strings that the compiler does not let be mixed up. */
+/** Branded id types: string types that can't be assigned to each other, so that the compiler detects mixed up ids. */
 declare const brand: unique symbol
 
 /** A string type tagged with the name of what it identifies. */
--- a/packages/types/src/members/index.ts
+++ b/packages/types/src/members/index.ts
@@ -27,7 +27,7 @@
   /** Incremented with each change of this record. */
   readonly factsVersion: number
   readonly state: 'live' | 'leaving'
-  /** The service of the backend server beside the daemon; null on an entry node. */
+  /** The service of the backend server on the daemon's node; null on an entry node. */
   readonly service: ids.ServiceName | null
   /** Capacity of the node for weights, in bytes. */
   readonly memoryBytes: number
