--- a/packages/command-line/src/_lib/prepareEdit.ts
+++ b/packages/command-line/src/_lib/prepareEdit.ts
@@ -7,6 +7,7 @@
 export interface EditCost {
   readonly copies: number
   readonly bytes: number
+  /** Number of rows of which no node holds a copy, so that the origin has to send one. */
   readonly originCopies: number
   readonly moves: ReadonlyArray<{ readonly node: string, readonly row: string, readonly bytes: number, readonly reason: string }>
 }
--- a/packages/command-line/src/demoCommand/runDemo.ts
+++ b/packages/command-line/src/demoCommand/runDemo.ts
@@ -81,8 +81,8 @@
   const partsByVersion = createVersions(bytes)
   const weights = new Map([...partsByVersion].map(([version, each]) => [`${ROW}@${version}`, standins.computeWeights(each)]))
   for (const [version, each] of partsByVersion) await publish(fleet, `weights/${ROW}-${version}`, each)
-  const table = (args: readonly string[]): Promise<void> => runTable(processes, fleet, plan.deployment, args)
-  await table(['import', writeInitialTable(processes.folder, plan)])
+  const editTable = (args: readonly string[]): Promise<void> => runTableCommand(processes, fleet, plan.deployment, args)
+  await editTable(['import', writeInitialTable(processes.folder, plan)])
   await launcher.waitUntil(async () => await areEntryNodesHealthy(fleet), VERSION_TIMEOUT_MS, 'healthy entry nodes')
 
   const callers = callFleet.startCallers({ fleet, apiKey: API_KEY, row: ROW, weights, intervalMs: CALL_INTERVAL_MS })
@@ -92,7 +92,7 @@
     const versionCells = [`version=${version}`, `source=weights/${ROW}-${version}`]
     const firstVersionCells = version === '1' ? [`service=${plan.services[0]?.name ?? ''}`, `originBytesPerSecond=${Math.round(ORIGIN_COPIES_PER_TRANSFER * bytes / TRANSFER_SECONDS)}`, `originCopies=${MAX_ORIGIN_COPIES}`, `favour=${plan.favour}`, 'minimumServing=4'] : []
     const display = showProgress.createProgressDisplay(`version ${version}`, replicas, options.plain || options.json || !process.stdout.isTTY)
-    results.push(await rollOut(fleet, { version, replicas, bytes, display: options.json ? null : display, edit: async () => { await table(['set', `model/${ROW}`, ...versionCells, ...firstVersionCells]) } }))
+    results.push(await rollOut(fleet, { version, replicas, bytes, display: options.json ? null : display, edit: async () => { await editTable(['set', `model/${ROW}`, ...versionCells, ...firstVersionCells]) } }))
     display.stop()
   }
   await types.delay(SETTLE_MS)
@@ -121,7 +121,7 @@
   return file
 }
 
-async function runTable (processes: launcher.Launcher, fleet: launcher.Fleet, deployment: string, args: readonly string[]): Promise<void> {
+async function runTableCommand (processes: launcher.Launcher, fleet: launcher.Fleet, deployment: string, args: readonly string[]): Promise<void> {
   const entry = fleet.entryNodes[0]?.address
   const result = await processes.run(COMMAND_MODULE, ['table', ...args], {
     SWITCHRIDGE_PLATFORM: fleet.platformUrl,
--- a/packages/fuzz/src/fuzzCalls/index.ts
+++ b/packages/fuzz/src/fuzzCalls/index.ts
@@ -12,6 +12,7 @@
 const ENTRY_NODES = 2
 const BACKENDS = 2
 const BEHAVIOURS: readonly callFleet.Behaviour[] = ['answer', 'answer', 'slow', 'break-before-run', 'break-after-run', 'break-in-answer']
+/** Time for requests that are still on their way to reach the back end before the oracles read the executions. */
 const SETTLE_MS = 60
 
 const callArbitrary = fc.record({
@@ -21,6 +22,7 @@
   behaviour: fc.constantFrom(...BEHAVIOURS),
   /** Idempotency key, shared by some calls; -1 for none. */
   key: fc.integer({ min: -1, max: 2 }),
+  /** Milliseconds after the start of the run. */
   at: fc.nat(30)
 })
 const faultArbitrary = fc.record({ kind: fc.constantFrom('restart' as const, 'leave' as const), backend: fc.nat(BACKENDS - 1), at: fc.nat(30) })
--- a/packages/launcher/src/createLauncher/index.ts
+++ b/packages/launcher/src/createLauncher/index.ts
@@ -9,7 +9,9 @@
 export interface LaunchedProcess {
   readonly name: string
   readonly pid: number
+  /** File that receives the process's standard output and standard error. */
   readonly logFile: string
+  /** Resolves to the exit code, or to null if a signal ended the process. */
   readonly exited: Promise<number | null>
   readonly kill: (signal: NodeJS.Signals) => void
 }
@@ -25,9 +27,11 @@
 export interface Launcher {
   /** Folder for settings and logs. */
   readonly folder: string
+  /** Starts a module as a process; `name` is that of its log file. */
   readonly start: (name: string, module: string, args: readonly string[]) => LaunchedProcess
   /** Runs a module as a command and waits until it exits. */
   readonly run: (module: string, args: readonly string[], environment: Readonly<Record<string, string>>) => Promise<CommandResult>
+  /** Returns the processes that are still running. */
   readonly processes: () => readonly LaunchedProcess[]
   /** Terminates the processes that are still running and removes the folder, unless it is to be kept. */
   readonly close: () => Promise<void>
--- a/packages/launcher/src/startFleet/index.ts
+++ b/packages/launcher/src/startFleet/index.ts
@@ -17,6 +17,7 @@
   readonly service: string
   readonly kind: 'engine' | 'plain' | ''
   readonly address: types.Address
+  /** Port on which an entry node accepts calls. */
   readonly callerPort: number
   /** URL of the back end that a backend daemon serves. */
   readonly backEndUrl: string
@@ -27,12 +28,17 @@
 /** Options of {@link startFleet}. */
 export interface FleetOptions {
   readonly plan: describeFleet.FleetPlan
+  /** Bandwidth of the origin's link; 0 for no limit. */
   readonly originBytesPerSecond: number
+  /** Bandwidth of each daemon's link; 0 for no limit. */
   readonly linkBytesPerSecond: number
+  /** Time per token of the engine stand-ins in milliseconds. */
   readonly tokenMs: number
+  /** Processing time of a request at the plain service stand-ins in milliseconds. */
   readonly plainWorkMs: number
   /** Number of engine stand-ins in one process. */
   readonly enginesPerProcess: number
+  /** Whether the engine stand-ins read the weights on load. */
   readonly readsWeights: boolean
   readonly chunkMemoryBytes: number
   readonly engineMemoryBytes: number
--- a/packages/measure/src/runBurst/index.ts
+++ b/packages/measure/src/runBurst/index.ts
@@ -107,6 +107,7 @@
   }
 }
 
+/** Size of the weights in bytes; bandwidths of the origin's link and of a node's link in bytes per second. */
 interface Rates {
   readonly bytes: number
   readonly origin: number
@@ -169,7 +170,7 @@
   return describeTrial(trial, rates, { times, limitSeconds, originBytes: origin.bytes, before, after })
 }
 
-/** Computes the minimum time until the last replica has the weights, in the fluid model: bounded by the origin's link, a node's link and all upload capacity. */
+/** Computes the minimum time in seconds until the last replica has the weights, in the fluid model: bounded by the origin's link, a node's link and all upload capacity. */
 function computeLimit (rates: Rates, nodes: number): number {
   return Math.max(rates.bytes / rates.origin, rates.bytes / rates.link, nodes * rates.bytes / (rates.origin + nodes * rates.link))
 }
@@ -206,6 +207,7 @@
 }
 
 interface TrialObservations {
+  /** Seconds from the edit until each replica serves, in ascending order. */
   readonly times: readonly number[]
   readonly limitSeconds: number
   readonly originBytes: number
--- a/packages/measure/src/runCapacity/index.ts
+++ b/packages/measure/src/runCapacity/index.ts
@@ -30,6 +30,7 @@
 export interface CapacityRow {
   readonly role: string
   readonly count: number
+  /** Rate of the busiest daemon of the role, for which traffic and CPU usage are predicted. */
   readonly exchangesPerSecond: number
   readonly kilobytesPerSecond: number
   readonly cpuPercent: number
@@ -96,7 +97,7 @@
 function predict (cpu: Fit, bytes: Fit, memory: Fit): CapacityRow[] {
   const fleet = makeTargetFleet()
   const hallSize = TARGET_SHAPE.entryNodesPerHall + TARGET_SHAPE.backendsPerHall
-  const perSecond = types.MILLISECONDS_IN_SECOND / membership.computeHeartbeatInterval(hallSize)
+  const heartbeatsPerSecond = types.MILLISECONDS_IN_SECOND / membership.computeHeartbeatInterval(hallSize)
   const exchanges = new Map<string, number>()
   const countExchange = (node: string): void => { exchanges.set(node, (exchanges.get(node) ?? 0) + 1) }
   for (const { facts } of fleet) {
@@ -113,7 +114,7 @@
   ]
   return nodeKinds.map(([role, isKind]) => {
     const nodes = fleet.filter(isKind)
-    const maxExchangesPerSecond = Math.max(...nodes.map(({ facts }) => (exchanges.get(facts.node) ?? 0) * perSecond))
+    const maxExchangesPerSecond = Math.max(...nodes.map(({ facts }) => (exchanges.get(facts.node) ?? 0) * heartbeatsPerSecond))
     return {
       role,
       count: nodes.length,
--- a/packages/measure/src/runConfiguration/index.ts
+++ b/packages/measure/src/runConfiguration/index.ts
@@ -33,7 +33,7 @@
 const SLOW_ANSWER_MS = 1000
 const OUTAGE_MS = 10_000
 const ISOLATION_MS = 4000
-const FAULT_EDITS = 3
+const SLOW_PLATFORM_EDITS = 3
 
 /** Runs all scenarios. */
 export async function runConfiguration (options: ConfigurationOptions, out: output.Output): Promise<ConfigurationResult[]> {
@@ -62,7 +62,7 @@
 function listScenarios (edits: number): Array<[string, Scenario]> {
   return [
     ['platform-up', async (fleet, store) => await measureEdits(fleet, store, edits)],
-    ['platform-slow', async (fleet, store) => await withFault(fleet, { delayMs: SLOW_ANSWER_MS }, { delayMs: 0 }, async () => await measureEdits(fleet, store, FAULT_EDITS))],
+    ['platform-slow', async (fleet, store) => await withFault(fleet, { delayMs: SLOW_ANSWER_MS }, { delayMs: 0 }, async () => await measureEdits(fleet, store, SLOW_PLATFORM_EDITS))],
     ['after-platform-down', measureEditAfterOutage],
     ['after-hall-cut', measureEditDuringIsolation]
   ]
--- a/packages/measure/src/runRouting/index.ts
+++ b/packages/measure/src/runRouting/index.ts
@@ -17,10 +17,11 @@
   readonly seed: number
 }
 
-/** Result of one load. */
+/** Result of one load; latencies in milliseconds. */
 export interface RoutingResult {
   readonly policy: string
   readonly entryNodes: number
+  /** Offered load as a fraction of what all slots can process. */
   readonly load: number
   readonly calls: number
   readonly answered: number
@@ -28,9 +29,11 @@
   readonly other: number
   readonly p50: number
   readonly p99: number
+  /** Ratio of `p99` to the 99th percentile with a single shared queue. */
   readonly p99OverSharedQueue: number
   readonly callsPerSecondAnswered: number
   readonly attemptsPerCall: number
+  /** CPU time per call of all entry nodes together, and of all backend daemons together. */
   readonly entryCpuMicroseconds: number
   readonly daemonCpuMicroseconds: number
 }
@@ -130,9 +133,10 @@
   return { account, outcome: answer.ok ? String(answer.value.headers['x-switchridge-outcome'] ?? 'answered') : 'broken', delayMs: performance.now() - sentAt }
 }
 
+/** CPU time and attempts since the daemons started; entry nodes and backend daemons are summed up separately. */
 interface Usage {
-  readonly entryCpu: number
-  readonly daemonCpu: number
+  readonly entryCpuSeconds: number
+  readonly daemonCpuSeconds: number
   readonly attempts: number
 }
 
@@ -140,8 +144,8 @@
   const [entries, backends] = [await launcher.readStatuses(fleet, fleet.entryNodes), await launcher.readStatuses(fleet, fleet.backends)]
   const sum = (statuses: readonly launcher.NodeStatus[], value: (status: launcher.NodeStatus) => number): number => statuses.reduce((total, status) => total + value(status), 0)
   return {
-    entryCpu: sum(entries, (status) => status.process.cpuSeconds),
-    daemonCpu: sum(backends, (status) => status.process.cpuSeconds),
+    entryCpuSeconds: sum(entries, (status) => status.process.cpuSeconds),
+    daemonCpuSeconds: sum(backends, (status) => status.process.cpuSeconds),
     attempts: sum(entries, (status) => status.counts['attempts'] ?? 0)
   }
 }
@@ -167,8 +171,8 @@
     p99OverSharedQueue: statistics.round(statistics.quantile(delays, 0.99) / statistics.quantile(sharedQueueDelays, 0.99)),
     callsPerSecondAnswered: statistics.round(answered / options.seconds, 1),
     attemptsPerCall: statistics.round((after.attempts - before.attempts) / calls.length),
-    entryCpuMicroseconds: perCall(after.entryCpu - before.entryCpu),
-    daemonCpuMicroseconds: perCall(after.daemonCpu - before.daemonCpu)
+    entryCpuMicroseconds: perCall(after.entryCpuSeconds - before.entryCpuSeconds),
+    daemonCpuMicroseconds: perCall(after.daemonCpuSeconds - before.daemonCpuSeconds)
   }
 }
 
--- a/packages/standins/src/createOriginStandIn/index.ts
+++ b/packages/standins/src/createOriginStandIn/index.ts
@@ -66,15 +66,15 @@
     context.body = { manifest: transfer.computeDigest(manifest), bytes: bytes.length }
   }
 
-  async function * streamSlices (bytes: Buffer, number: number): AsyncGenerator<Buffer> {
+  async function * streamSlices (bytes: Buffer, requestNumber: number): AsyncGenerator<Buffer> {
     const breakAt = bytes.length / 2
     for (let offset = 0; offset < bytes.length; offset += SLICE_BYTES) {
       if (offset >= breakAt && faults.stall) await timers.setTimeout(STALL_MS, undefined, { ref: false })
-      if (offset >= breakAt && isEveryNth(number, faults.closeEvery)) throw new Error('simulated fault: connection closed in the middle of a range')
+      if (offset >= breakAt && isEveryNth(requestNumber, faults.closeEvery)) throw new Error('simulated fault: connection closed in the middle of a range')
       const slice = bytes.subarray(offset, offset + SLICE_BYTES)
       await link.waitToSend(slice.length)
       counts.bytes += slice.length
-      yield isEveryNth(number, faults.corruptEvery) && offset === 0 ? flipFirstBit(slice) : slice
+      yield isEveryNth(requestNumber, faults.corruptEvery) && offset === 0 ? flipFirstBit(slice) : slice
     }
   }
 
--- a/packages/standins/src/createPlatformStandIn/index.ts
+++ b/packages/standins/src/createPlatformStandIn/index.ts
@@ -8,7 +8,9 @@
 
 /** Faults that the platform can simulate. */
 export interface PlatformFaults {
+  /** Whether every request is answered with status 503. */
   isDown: boolean
+  /** Delay of each response in milliseconds. */
   delayMs: number
   /** Number of writes still to come that take effect but whose response is lost. */
   loseAnswers: number
--- a/packages/standins/src/createSimulatedNetwork/index.ts
+++ b/packages/standins/src/createSimulatedNetwork/index.ts
@@ -23,7 +23,9 @@
 
 /** Traffic counters of the network. */
 export interface NetworkCounts {
+  /** Datagrams sent, including those that do not arrive. */
   datagrams: number
+  /** Datagrams dropped at a link with too long a queue. */
   droppedDatagrams: number
   /** Delivered bytes of datagrams and streams; dropped datagrams don't count. */
   bytes: number
@@ -198,7 +200,7 @@
     }, drop)
   }
 
-  async function carry (from: string, to: string, bytes: number, limits: StreamOptions = {}): Promise<boolean> {
+  async function sendStream (from: string, to: string, bytes: number, limits: StreamOptions = {}): Promise<boolean> {
     const path = listLinks(from, to)
     let unsent = bytes
     let inFlight = 0
@@ -246,7 +248,7 @@
   }
 
   return {
-    sendStream: carry,
+    sendStream,
     counts,
     getReceivedBytes: (host) => receivedBytes.get(host) ?? 0,
     disconnectHost: (host) => { disconnectedHosts.add(host) },
--- a/packages/standins/src/createVirtualClock/index.ts
+++ b/packages/standins/src/createVirtualClock/index.ts
@@ -4,7 +4,7 @@
 export interface VirtualClock {
   /** Current virtual time in milliseconds. */
   readonly now: () => number
-  /** Schedules an action; actions with the same time run in the order in which they were scheduled. */
+  /** Schedules an action for a virtual time in milliseconds; actions with the same time run in the order in which they were scheduled. */
   readonly at: (time: number, action: () => void) => void
   /** Runs the actions due until a time and advances the clock to it; with Infinity the clock stops at the last action. */
   readonly run: (until: number) => void
