--- a/packages/daemon/src/_lib/createTransferPlanner.ts
+++ b/packages/daemon/src/_lib/createTransferPlanner.ts
@@ -24,16 +24,16 @@
 export function createTransferPlanner (self: transfer.Peer, table: () => types.Table, policyName: PolicyName): TransferPlanner {
   return (row, members) => {
     const holders = listHolders(row, table(), members)
-    const group = findOriginGroup(row, self, holders, members)
+    const originGroup = findOriginGroup(row, self, holders, members)
     const peers = selectPeers(self, row, holders)
     const placed = holders.filter((holder) => holder.isPlaced).map(({ peer }) => peer)
-    const signature = [row.originBytesPerSecond, row.originCopies, row.favour, [...group].join(), ...holders.map(({ peer, isPlaced }) => `${peer.node}/${peer.address.port}/${String(isPlaced)}`).sort()].join(' ')
+    const signature = [row.originBytesPerSecond, row.originCopies, row.favour, [...originGroup].join(), ...holders.map(({ peer, isPlaced }) => `${peer.node}/${peer.address.port}/${String(isPlaced)}`).sort()].join(' ')
     return {
       digest: row.manifest,
       source: row.source,
       peers,
       signature,
-      createPolicy: (manifest, startedAt) => createPolicy(policyName, { self, row, manifest, startedAt, placed, group })
+      createPolicy: (manifest, startedAt) => createPolicy(policyName, { self, row, manifest, startedAt, placed, originGroup })
     }
   }
 }
@@ -81,7 +81,7 @@
   readonly manifest: transfer.Manifest
   readonly startedAt: number
   readonly placed: readonly transfer.Peer[]
-  readonly group: ReadonlySet<types.DataHallId>
+  readonly originGroup: ReadonlySet<types.DataHallId>
 }
 
 function createPolicy (name: PolicyName, input: PolicyInput): transfer.TransferPolicy {
@@ -96,12 +96,12 @@
   }
 }
 
-function createSwarmPolicy ({ self, row, manifest, startedAt, group }: PolicyInput, holders: readonly transfer.Peer[]): transfer.TransferPolicy {
+function createSwarmPolicy ({ self, row, manifest, startedAt, originGroup }: PolicyInput, holders: readonly transfer.Peer[]): transfer.TransferPolicy {
   const hasSpareOriginCopy = row.favour === 'time' && row.originCopies > 1
   return transfer.createSwarmPolicy({
     self,
     holders,
-    originGroup: group,
+    originGroup,
     manifestDigest: row.manifest,
     chunkBytes: manifest.chunkBytes,
     originBytesPerSecond: row.originBytesPerSecond,
--- a/packages/daemon/src/createCallQuarantine/index.ts
+++ b/packages/daemon/src/createCallQuarantine/index.ts
@@ -53,7 +53,7 @@
     return listed === undefined || listed.isDraining
   }
 
-  async function noteCut (backEnd: gateway.BackEnd, call: quarantine.CallFingerprint): Promise<void> {
+  async function noteConnectionLost (backEnd: gateway.BackEnd, call: quarantine.CallFingerprint): Promise<void> {
     if (!options.settings.enabled) return
     const life = types.formatBackEndInstanceId(backEnd.id, backEnd.bornAt)
     const wasLeaving = isLeaving(backEnd)
@@ -71,5 +71,5 @@
     if (ended !== undefined) book.noteFailure(ended.id)
   }
 
-  return { ...shared, noteConnectionLost: noteCut }
+  return { ...shared, noteConnectionLost }
 }
--- a/packages/daemon/src/createFleetExchange/suspended.test.ts
+++ b/packages/daemon/src/createFleetExchange/suspended.test.ts
@@ -15,9 +15,9 @@
 const AFTER_ANNOUNCEMENT_MS = 1000
 const SUSPENDED_MS = 5000
 
-async function openFleet (context: nodeTest.TestContext, isStartKnown = true): Promise<simulatedFleet.SimulatedFleet> {
+async function openFleet (context: nodeTest.TestContext, isBootTimeAvailable = true): Promise<simulatedFleet.SimulatedFleet> {
   context.mock.timers.enable({ apis: ['setTimeout', 'setInterval', 'Date'], now: 1_000_000 })
-  const fleet = simulatedFleet.createSimulatedFleet({ ...SHAPE, isBootTimeAvailable: isStartKnown }, context.mock.timers, standins.createSeededRandom(SEED))
+  const fleet = simulatedFleet.createSimulatedFleet({ ...SHAPE, isBootTimeAvailable }, context.mock.timers, standins.createSeededRandom(SEED))
   context.after(() => { for (const daemon of fleet.daemons) daemon.stop() })
   fleet.configure(3)
   for (const daemon of fleet.daemons) await daemon.start()
@@ -45,9 +45,9 @@
   assert.ok(Math.abs(computeRemainingSendMs(suspended) - computeRemainingSendMs(other)) < NOTICE_MS, `${computeRemainingSendMs(suspended)} ms left, elsewhere ${computeRemainingSendMs(other)}`)
 })
 
-for (const isStartKnown of [true, false]) {
-  nodeTest.test(`a gateway that was suspended soon knows the deadline of a version change, ${isStartKnown ? 'by its own clocks' : 'by what others send'}, and sends no wrong age`, async (context) => {
-    const fleet = await openFleet(context, isStartKnown)
+for (const isBootTimeAvailable of [true, false]) {
+  nodeTest.test(`a gateway that was suspended soon knows the deadline of a version change, ${isBootTimeAvailable ? 'by its own clocks' : 'by what others send'}, and sends no wrong age`, async (context) => {
+    const fleet = await openFleet(context, isBootTimeAvailable)
     const [suspended, other] = fleet.gateways as [simulatedFleet.SimulatedDaemon, simulatedFleet.SimulatedDaemon]
     suspended.suspend()
     await fleet.advance(SUSPENDED_MS)
--- a/packages/daemon/src/createRateLimiter/index.ts
+++ b/packages/daemon/src/createRateLimiter/index.ts
@@ -48,7 +48,7 @@
   const counter = rateLimits.createPermitCounter(now)
   const { node, host: ownHost, zone } = options.parts.settings
   const client = rateLimits.createPermitClient({ ownHost, counter, findCounter, send, count, at, now, random: options.random })
-  const server = rateLimits.createPermitServer({ counter, grantableFraction: partOf, send, count, now })
+  const server = rateLimits.createPermitServer({ counter, grantableFraction, send, count, now })
 
   function send (host: string, bytes: Buffer): void {
     options.exchange()?.send(host, bytes)
@@ -81,7 +81,7 @@
   }
 
   /** Returns the fraction of a limit for which this gateway may grant permits; null if another daemon counts them. */
-  function partOf (life: types.BackEndInstanceId): number | null {
+  function grantableFraction (life: types.BackEndInstanceId): number | null {
     const chosen = findCounter(life)
     return chosen?.host === ownHost ? chosen.part : null
   }
@@ -110,7 +110,7 @@
       return limit === null || limit.perSecond === null ? null : { perSecond: limit.perSecond, waitMs: client.waitMs(limit.life, isLate) }
     },
     noteResponse: ({ id, bornAt }, rate, sentAt) => { record.noteResponse(types.formatBackEndInstanceId(id, bornAt), rate, sentAt) },
-    noteReportedLimit: ({ id, bornAt }, perSecond, heardAt) => { record.noteFromPeer({ life: types.formatBackEndInstanceId(id, bornAt), perSecond, receivedAt: heardAt }) },
+    noteReportedLimit: ({ id, bornAt }, perSecond, receivedAt) => { record.noteFromPeer({ life: types.formatBackEndInstanceId(id, bornAt), perSecond, receivedAt }) },
     inForce: record.inForce,
     removeUnlisted: () => { record.retainOnly(new Set(backEnds().map(({ id, bornAt }) => types.formatBackEndInstanceId(id, bornAt)))) },
     noteFact: (content, madeAt) => {
--- a/packages/daemon/src/createVersionRecord/index.ts
+++ b/packages/daemon/src/createVersionRecord/index.ts
@@ -73,12 +73,12 @@
   function note (id: staging.VersionId, ageMs: number): boolean {
     const versions = models.get(id.model) ?? new Map<number, staging.NamedVersion>()
     models.set(id.model, versions)
-    const heardAt = options.now() - ageMs
+    const namedAt = options.now() - ageMs
     const known = versions.get(id.version)
-    if (known !== undefined && known.namedAt <= heardAt) return false
-    const boundAt = Math.min(known?.deadlineAt ?? Infinity, ageMs > 0 ? heardAt + options.boundMs : heardAt + currentBoundMs())
-    versions.set(id.version, { id, namedAt: heardAt, deadlineAt: boundAt })
-    if (boundAt < (known?.deadlineAt ?? Infinity) - EARLIER_BOUND_THRESHOLD_MS) options.onBound(id, { ageMs, leftMs: boundAt - options.now() })
+    if (known !== undefined && known.namedAt <= namedAt) return false
+    const deadlineAt = Math.min(known?.deadlineAt ?? Infinity, ageMs > 0 ? namedAt + options.boundMs : namedAt + currentBoundMs())
+    versions.set(id.version, { id, namedAt, deadlineAt })
+    if (deadlineAt < (known?.deadlineAt ?? Infinity) - EARLIER_BOUND_THRESHOLD_MS) options.onBound(id, { ageMs, leftMs: deadlineAt - options.now() })
     return known === undefined
   }
 
@@ -90,8 +90,8 @@
 
   function noteSuspension ({ lostMs, resumedAt }: clock.Suspension): void {
     for (const versions of models.values()) {
-      for (const [version, { id, namedAt: heardAt, deadlineAt: boundAt }] of versions) {
-        if (heardAt >= resumedAt) versions.set(version, { id, namedAt: heardAt + lostMs, deadlineAt: boundAt + lostMs })
+      for (const [version, { id, namedAt, deadlineAt }] of versions) {
+        if (namedAt >= resumedAt) versions.set(version, { id, namedAt: namedAt + lostMs, deadlineAt: deadlineAt + lostMs })
       }
     }
   }
@@ -108,6 +108,6 @@
       return earliest
     },
     recentVersions: () => [...models.keys()].flatMap((model) => named(model).slice(-MAXIMUM_ANNOUNCED_VERSIONS)
-      .map(({ id, namedAt: heardAt }) => ({ model: id.model, version: id.version, ageMs: Math.round(options.now() - heardAt) })))
+      .map(({ id, namedAt }) => ({ model: id.model, version: id.version, ageMs: Math.round(options.now() - namedAt) })))
   }
 }
--- a/packages/daemon/src/createVersionRecord/test.ts
+++ b/packages/daemon/src/createVersionRecord/test.ts
@@ -2,13 +2,13 @@
 import * as nodeTest from 'node:test'
 import * as createVersionRecord from './index.js'
 
-function createFollower (time: { now: number }): createVersionRecord.VersionRecord {
+function createRecord (time: { now: number }): createVersionRecord.VersionRecord {
   return createVersionRecord.createVersionRecord({ boundMs: 8000, marginMs: 1000, startupBoundMs: 2800, onBound: () => {}, now: () => time.now })
 }
 
 nodeTest.test('an older version gets no calls once the margin before the bound begins', () => {
   const time = { now: 0 }
-  const versions = createFollower(time)
+  const versions = createRecord(time)
   time.now = 10_000
   versions.note({ model: 'm', version: 2 }, 0)
   assert.equal(versions.lastSendTo('m', 1), 17_000)
@@ -18,7 +18,7 @@
 
 nodeTest.test('the highest reported age counts, and a starting process applies a short bound', () => {
   const time = { now: 0 }
-  const versions = createFollower(time)
+  const versions = createRecord(time)
   time.now = 500
   versions.note({ model: 'm', version: 2 }, 0)
   assert.equal(versions.lastSendTo('m', 1), 2300)
@@ -30,5 +30,5 @@
 })
 
 nodeTest.test('a model without an announced version runs its first one', () => {
-  assert.deepEqual(createFollower({ now: 0 }).named('m').map(({ id }) => id.version), [1])
+  assert.deepEqual(createRecord({ now: 0 }).named('m').map(({ id }) => id.version), [1])
 })
--- a/packages/daemon/src/startGatewayRole/index.ts
+++ b/packages/daemon/src/startGatewayRole/index.ts
@@ -33,7 +33,7 @@
 export async function startGatewayRole (checked: settings.FleetSettings, environment?: createFleetParts.PartsEnvironment): Promise<fleetRole.FleetRole> {
   const parts = createFleetParts.createFleetParts(checked, environment)
   const { logger, metrics, now } = parts
-  const book = gateway.createBackEndTracker(now)
+  const tracker = gateway.createBackEndTracker(now)
   const budgets = new Map<types.ServiceName, gateway.RetryBudget>()
   const errorBounds = new Map<types.ServiceName, gateway.ErrorBound>()
   let isLeaving = false
@@ -55,7 +55,7 @@
     store: client,
     mayAskStore: () => startedExchange?.mayAskStore() ?? false,
     backEnds: parts.backEnds,
-    book,
+    book: tracker,
     publishFact: (content, ttlMs, ageMs) => { startedExchange?.facts.publish(content, ttlMs, ageMs) },
     probe: gateway.probeAddress,
     logger,
@@ -96,7 +96,7 @@
     if (engineUpdate === null) return
     const backEnd = parts.backEndAt(engineUpdate.address)
     if (backEnd === undefined) return
-    book.noteReport(backEnd.id, engineUpdate, now() - delayMs - ageMs, delayMs)
+    tracker.noteReport(backEnd.id, engineUpdate, now() - delayMs - ageMs, delayMs)
     if (engineUpdate.report.limitPerSecond !== null) limiter.noteReportedLimit(backEnd, engineUpdate.report.limitPerSecond, now() - delayMs - ageMs)
   }
 
@@ -128,7 +128,7 @@
     const { model } = choice
     return gateway.chooseBackEnd({
       backEnds: parts.backEnds().filter((backEnd) => backEnd.service === choice.service),
-      tracker: book,
+      tracker,
       figures,
       zone: checked.zone,
       gateways: countLiveGateways(),
@@ -149,7 +149,7 @@
   const calls = gateway.createCallHandler({
     protocol: platform.createCallProtocol(),
     routes: parts.routes,
-    tracker: book,
+    tracker,
     choose: chooseBackEnd,
     budgetOf,
     errorBoundOf,
@@ -167,7 +167,7 @@
   const server = await gateway.createCallerServer(calls, platform.parseAddress(checked.listen.callers as string))
   parts.onRoutes((table) => { server.setLimits(table.configuration.limits) })
   parts.onBackEnds(() => {
-    book.keepOnly(parts.backEnds())
+    tracker.keepOnly(parts.backEnds())
     limiter.removeUnlisted()
   })
   const readiness = checked.listen.readiness === undefined
@@ -214,7 +214,7 @@
     store: exchange.storeState(),
     blockedCalls: callQuarantine.blocks().map(({ fingerprint, count, since }) => ({ fingerprint, count, ageSeconds: Math.round((now() - since) / types.MILLISECONDS_IN_SECOND) })),
     endsKnown: callQuarantine.countEnds(),
-    rateLimits: limiter.inForce().map(({ life, perSecond, receivedAt: heardAt }) => ({ life, perSecond, ageSeconds: Math.round((now() - heardAt) / types.MILLISECONDS_IN_SECOND) })),
+    rateLimits: limiter.inForce().map(({ life, perSecond, receivedAt }) => ({ life, perSecond, ageSeconds: Math.round((now() - receivedAt) / types.MILLISECONDS_IN_SECOND) })),
     peers: gossip.peers().map((peer) => ({ node: peer.heartbeat.node, role: peer.heartbeat.role, zone: peer.heartbeat.zone, isLive: gossip.isLive(peer) })),
     backEnds: parts.backEnds().map((backEnd) => ({ id: backEnd.id, service: backEnd.service, isDraining: backEnd.isDraining, models: Object.fromEntries(backEnd.models) }))
   }))
--- a/packages/daemon/src/startGatewayRole/lethal.test.ts
+++ b/packages/daemon/src/startGatewayRole/lethal.test.ts
@@ -26,12 +26,12 @@
 }
 
 /** Starts gateways and the engines of one service, each of which ends when it runs the lethal call. */
-async function openLethalFleet (context: nodeTest.TestContext, count: number, lethalAfterMs = 0): Promise<LethalFleet> {
+async function openLethalFleet (context: nodeTest.TestContext, count: number, crashDelayMs = 0): Promise<LethalFleet> {
   const fleet = await fleetTesting.createTestFleet(context)
   fleet.configure()
   const engines: testing.EngineStandIn[] = []
   for (let index = 0; index < ENGINES; index += 1) {
-    engines.push(await fleet.startEngine({ id: `i-${index}`, model: fleetTesting.MODEL, version: 1, events: 3, crashesOn: ({ path }) => path === LETHAL_PATH, crashDelayMs: lethalAfterMs }))
+    engines.push(await fleet.startEngine({ id: `i-${index}`, model: fleetTesting.MODEL, version: 1, events: 3, crashesOn: ({ path }) => path === LETHAL_PATH, crashDelayMs }))
   }
   const gateways: types.Address[] = []
   for (const host of HOSTS.slice(0, count)) gateways.push(await fleet.startGateway(host, [HOSTS[0]]))
--- a/packages/gateway/src/_lib/loadSimulation.ts
+++ b/packages/gateway/src/_lib/loadSimulation.ts
@@ -117,47 +117,47 @@
 export function simulateLoad (scenario: LoadScenario): LoadResult {
   const figures = scenario.figures ?? FIGURES
   const reportIntervalsMs = scenario.reportIntervalsMs ?? REPORT_INTERVALS_MS
-  const timeline = standins.createVirtualClock()
+  const clock = standins.createVirtualClock()
   const random = standins.createSeededRandom(scenario.seed ?? SEED)
   const zoneOf = (at: number): string => `hall-${at % scenario.halls}`
-  const engines = Array.from({ length: scenario.engines }, (_, at) => simulatedEngine.createSimulatedEngine(`engine-${at}`, zoneOf(at), at < (scenario.slow?.count ?? 0) ? scenario.slow?.pace ?? 1 : 1, figures, timeline))
+  const engines = Array.from({ length: scenario.engines }, (_, at) => simulatedEngine.createSimulatedEngine(`engine-${at}`, zoneOf(at), at < (scenario.slow?.count ?? 0) ? scenario.slow?.pace ?? 1 : 1, figures, clock))
   const backEnds = engines.map(({ backEnd }) => backEnd)
   const byId = new Map(engines.map((engine) => [engine.backEnd.id, engine]))
-  const gateways: readonly SimulatedGateway[] = Array.from({ length: scenario.gateways }, (_, at) => ({ zone: zoneOf(at), tracker: createBackEndTracker.createBackEndTracker(timeline.now), errors: createErrorBound.createErrorBound(timeline.now), targets: createSharedTargets.createSharedTargets(timeline.now), permitExpectedAt: new Map() }))
+  const gateways: readonly SimulatedGateway[] = Array.from({ length: scenario.gateways }, (_, at) => ({ zone: zoneOf(at), tracker: createBackEndTracker.createBackEndTracker(clock.now), errors: createErrorBound.createErrorBound(clock.now), targets: createSharedTargets.createSharedTargets(clock.now), permitExpectedAt: new Map() }))
   const counts = STREAM_CLASSES.map(createCounts)
   const limit = scenario.limited ?? { count: 0, perSecond: 1, isEnforced: false }
   const limited = new Map(backEnds.slice(scenario.engines - limit.count).map(({ id }) => [id, [] as number[]]))
-  const counter = rateLimits.createPermitCounter(timeline.now)
+  const counter = rateLimits.createPermitCounter(clock.now)
 
-  const slots = new Map(engines.map((engine) => [engine.backEnd.id, createSlotReservations.createSlotReservations(timeline.now)]))
+  const slots = new Map(engines.map((engine) => [engine.backEnd.id, createSlotReservations.createSlotReservations(clock.now)]))
 
   function scheduleReports (engine: simulatedEngine.SimulatedEngine, includesZone: (zone: string) => boolean, everyMs: number, latencyMs: number): void {
     let report = engine.report()
     const readEngine = (): void => {
       report = engine.report()
       slots.get(engine.backEnd.id)?.noteReport(report)
-      timeline.at(timeline.now() + AGENT_READ_INTERVAL_MS, readEngine)
+      clock.at(clock.now() + AGENT_READ_INTERVAL_MS, readEngine)
     }
-    timeline.at(random() * AGENT_READ_INTERVAL_MS, readEngine)
+    clock.at(random() * AGENT_READ_INTERVAL_MS, readEngine)
     const sendReport = (): void => {
-      const madeAt = timeline.now()
+      const madeAt = clock.now()
       const status = { report, isPaused: false, changesInMs: null }
-      timeline.at(madeAt + latencyMs, () => { for (const { zone, tracker } of gateways) if (includesZone(zone)) tracker.noteReport(engine.backEnd.id, status, madeAt, 0) })
-      timeline.at(madeAt + everyMs, sendReport)
+      clock.at(madeAt + latencyMs, () => { for (const { zone, tracker } of gateways) if (includesZone(zone)) tracker.noteReport(engine.backEnd.id, status, madeAt, 0) })
+      clock.at(madeAt + everyMs, sendReport)
     }
-    timeline.at(random() * everyMs, sendReport)
+    clock.at(random() * everyMs, sendReport)
   }
 
   function readRoom (from: SimulatedGateway, id: types.NodeId): limiters.RateAllowance | null {
     if (!limit.isEnforced || !limited.has(id)) return null
-    return { perSecond: limit.perSecond, waitMs: Math.max(0, (from.permitExpectedAt.get(id) ?? 0) - timeline.now()) }
+    return { perSecond: limit.perSecond, waitMs: Math.max(0, (from.permitExpectedAt.get(id) ?? 0) - clock.now()) }
   }
 
   /** Whether a call may be sent; requesting a permit takes no time in the simulation. */
   function isPermitted (from: SimulatedGateway, id: types.NodeId, isLate: boolean): boolean {
     if (!limit.isEnforced || !limited.has(id)) return true
     const answer = counter.take({ life: types.formatBackEndInstanceId(id, null), perSecond: limit.perSecond, receivedAt: 0 }, 1, isLate)
-    if (!answer.isGranted && !isLate) from.permitExpectedAt.set(id, timeline.now() + answer.waitMs)
+    if (!answer.isGranted && !isLate) from.permitExpectedAt.set(id, clock.now() + answer.waitMs)
     return answer.isGranted
   }
 
@@ -177,19 +177,19 @@
       mayRequestPermit: true,
       pinnedVersion: null,
       tried,
-      now: timeline.now(),
+      now: clock.now(),
       random
     })
   }
 
   function startCall (): void {
     const kind = STREAM_CLASSES[pickStreamClassIndex(random())] as StreamClass
-    const isCounted = timeline.now() >= WARM_UP_MS
+    const isCounted = clock.now() >= WARM_UP_MS
     const call: Call = {
       kind,
       counts: isCounted ? counts[STREAM_CLASSES.indexOf(kind)] as Counts : createCounts(),
       promptTokens: Math.round(kind.promptTokens * -Math.log(1 - random())),
-      askedAt: timeline.now(),
+      askedAt: clock.now(),
       tries: 0
     }
     call.counts.asked += 1
@@ -203,7 +203,7 @@
 
   function handleCall (from: SimulatedGateway, call: Call): void {
     const { choice, utilization, permitWaitMs } = choose(from, call, new Set())
-    const elapsedMs = timeline.now() - call.askedAt
+    const elapsedMs = clock.now() - call.askedAt
     const isLate = !callState.canMeetTarget(elapsedMs, call.kind.targetMs)
     if (choice === null) return refuse(call, callState.canMeetTarget(elapsedMs + permitWaitMs, call.kind.targetMs) ? permitWaitMs : LATE_RETRY_MS * (1 + random()))
     const targetMs = from.targets.note({ service: simulatedEngine.SERVICE, priority: 1, targetMs: call.kind.targetMs })
@@ -225,13 +225,13 @@
 
   function reserveSlot (from: SimulatedGateway, call: Call, choice: chooseBackEnd.Choice, targetMs: number, retryAfterMs: number, asked: Set<types.NodeId>): void {
     const { id, zone } = choice.backEnd
-    const withinMs = targetMs - (timeline.now() - call.askedAt)
+    const withinMs = targetMs - (clock.now() - call.askedAt)
     if (withinMs <= 0) return refuse(call, retryAfterMs)
     asked.add(id)
     const latencyMs = zone === from.zone ? HALL_LATENCY_MS : CROSS_HALL_LATENCY_MS
-    timeline.at(timeline.now() + latencyMs, () => {
+    clock.at(clock.now() + latencyMs, () => {
       const isReserved = slots.get(id)?.reserve({ promptTokens: call.promptTokens, withinMs }, figures) === true
-      timeline.at(timeline.now() + latencyMs, () => {
+      clock.at(clock.now() + latencyMs, () => {
         if (isReserved && isPermitted(from, id, false)) return serve(from, call, choice, new Set())
         const next = asked.size < reserveSlots.MAXIMUM_AGENTS_ASKED ? choose(from, call, asked).choice : null
         if (next === null) refuse(call, retryAfterMs)
@@ -242,27 +242,27 @@
 
   function refuse (call: Call, retryAfterMs: number): void {
     if (scenario.doCallersRetry !== true || call.tries >= CALLER_TRIES) call.counts.refused += 1
-    else timeline.at(timeline.now() + retryAfterMs, () => { tryGateway(call) })
+    else clock.at(clock.now() + retryAfterMs, () => { tryGateway(call) })
   }
 
   function serve (from: SimulatedGateway, call: Call, choice: chooseBackEnd.Choice, tried: Set<types.NodeId>): void {
     const { id } = choice.backEnd
     tried.add(id)
-    const sentAt = timeline.now()
+    const sentAt = clock.now()
     const open: createBackEndTracker.OpenAttempt = { promptTokens: call.promptTokens, answerTokens: call.kind.events * simulatedEngine.STEPS_PER_PASS, sentAt, hasResponded: false }
     from.tracker.noteSent(id, open)
     const latencyMs = choice.backEnd.zone === from.zone ? HALL_LATENCY_MS : CROSS_HALL_LATENCY_MS
-    timeline.at(sentAt + latencyMs, () => {
-      limited.get(id)?.push(timeline.now())
+    clock.at(sentAt + latencyMs, () => {
+      limited.get(id)?.push(clock.now())
       const isTaken = byId.get(id)?.enqueue({
         isUrgent: sentAt - call.askedAt <= call.kind.targetMs,
         unreadTokens: call.promptTokens + 1,
         eventsLeft: call.kind.events,
-        onFirstEvent: () => { timeline.at(timeline.now() + latencyMs, () => { noteFirstEvent(call, open, from, choice) }) },
-        onEnd: () => { timeline.at(timeline.now() + latencyMs, () => { from.tracker.noteEnded(id, open) }) }
+        onFirstEvent: () => { clock.at(clock.now() + latencyMs, () => { noteFirstEvent(call, open, from, choice) }) },
+        onEnd: () => { clock.at(clock.now() + latencyMs, () => { from.tracker.noteEnded(id, open) }) }
       })
       if (isTaken === true) return
-      timeline.at(timeline.now() + latencyMs, () => {
+      clock.at(clock.now() + latencyMs, () => {
         from.tracker.noteEnded(id, open)
         from.tracker.noteFull(id)
         const next = tried.size < ATTEMPTS ? choose(from, call, tried).choice : null
@@ -273,23 +273,23 @@
   }
 
   function noteFirstEvent (call: Call, open: createBackEndTracker.OpenAttempt, from: SimulatedGateway, choice: chooseBackEnd.Choice): void {
-    from.errors.note(choice.firstEventMs, timeline.now() - open.sentAt)
+    from.errors.note(choice.firstEventMs, clock.now() - open.sentAt)
     open.hasResponded = true
-    if (timeline.now() - call.askedAt <= call.kind.targetMs) call.counts.inTime += 1
+    if (clock.now() - call.askedAt <= call.kind.targetMs) call.counts.inTime += 1
     else call.counts.late += 1
   }
 
   function scheduleCalls (): void {
     startCall()
-    timeline.at(timeline.now() - Math.log(1 - random()) * types.MILLISECONDS_IN_SECOND / scenario.callsPerSecond, scheduleCalls)
+    clock.at(clock.now() - Math.log(1 - random()) * types.MILLISECONDS_IN_SECOND / scenario.callsPerSecond, scheduleCalls)
   }
 
   for (const engine of engines) {
     scheduleReports(engine, (zone) => zone === engine.backEnd.zone, reportIntervalsMs.near, HALL_LATENCY_MS)
     scheduleReports(engine, (zone) => zone !== engine.backEnd.zone, reportIntervalsMs.far, CROSS_HALL_LATENCY_MS)
   }
-  timeline.at(0, scheduleCalls)
-  timeline.run(WARM_UP_MS + scenario.seconds * types.MILLISECONDS_IN_SECOND)
+  clock.at(0, scheduleCalls)
+  clock.run(WARM_UP_MS + scenario.seconds * types.MILLISECONDS_IN_SECOND)
   const kinds = counts.map((each) => divideBySeconds(each, scenario.seconds))
   return { ...kinds.reduce(addResults, createCounts()), kinds, maximumLimitedRequests: Math.max(0, ...[...limited.values()].map(countMostInWindow)) }
 }
--- a/packages/gateway/src/_lib/simulatedEngine.ts
+++ b/packages/gateway/src/_lib/simulatedEngine.ts
@@ -38,10 +38,10 @@
  * @param zone - Its data hall.
  * @param pace - Factor by which it is slower than its figures.
  * @param figures - Speeds and slots.
- * @param timeline - Clock of the simulation.
+ * @param clock - Virtual clock of the simulation.
  * @returns The engine, idle.
  */
-export function createSimulatedEngine (id: string, zone: string, pace: number, figures: gateway.EngineFigures, timeline: standins.VirtualClock): SimulatedEngine {
+export function createSimulatedEngine (id: string, zone: string, pace: number, figures: gateway.EngineFigures, clock: standins.VirtualClock): SimulatedEngine {
   const running: EngineCall[] = []
   const waiting: EngineCall[] = []
   let isInPass = false
@@ -58,7 +58,7 @@
     })
     const stepMs = (figures.stepMs as number) + (figures.stepMsPerSequence as number) * running.length
     const passMs = pace * (STEPS_PER_PASS * stepMs + read.reduce((sum, tokens) => sum + tokens, 0) / (figures.prefillTokensPerMs as number))
-    timeline.at(timeline.now() + passMs, () => { finishPass(read) })
+    clock.at(clock.now() + passMs, () => { finishPass(read) })
   }
 
   /** Removes the next call from the queue; urgent calls come first. */
--- a/packages/gateway/src/chooseBackEnd/test.ts
+++ b/packages/gateway/src/chooseBackEnd/test.ts
@@ -57,23 +57,23 @@
 })
 
 nodeTest.test('an engine where the call may begin too late is passed over: queues, overdue reports, pauses and saturated links', () => {
-  const lastSendTo = (version: number): number => version < 2 ? NOW + 400 : Infinity
+  const lastBeginAt = (version: number): number => version < 2 ? NOW + 400 : Infinity
   const engines = [createEngine('old', 1)]
   const idle = createBackEndTracker.createBackEndTracker(() => NOW)
   idle.noteReport(types.brandId('old'), report(1, 2), NOW, 0)
-  assert.equal(choose(engines, idle, { lastBeginAt: lastSendTo }), 'old')
+  assert.equal(choose(engines, idle, { lastBeginAt }), 'old')
   const queued = createBackEndTracker.createBackEndTracker(() => NOW)
   queued.noteReport(types.brandId('old'), report(1, 16, 4), NOW, 0)
-  assert.equal(choose(engines, queued, { lastBeginAt: lastSendTo }), null)
+  assert.equal(choose(engines, queued, { lastBeginAt }), null)
   const silent = createBackEndTracker.createBackEndTracker(() => NOW)
   silent.noteReport(types.brandId('old'), report(1, 2), NOW - 1300, 0)
-  assert.equal(choose(engines, silent, { lastBeginAt: lastSendTo }), null)
+  assert.equal(choose(engines, silent, { lastBeginAt }), null)
   const paused = createBackEndTracker.createBackEndTracker(() => NOW)
   paused.noteReport(types.brandId('old'), { ...report(1, 2), isPaused: true }, NOW, 0)
-  assert.equal(choose(engines, paused, { lastBeginAt: lastSendTo }), null)
+  assert.equal(choose(engines, paused, { lastBeginAt }), null)
   const saturated = createBackEndTracker.createBackEndTracker(() => NOW)
   saturated.noteReport(types.brandId('old'), report(1, 2), NOW - 200, 200)
-  assert.equal(choose(engines, saturated, { lastBeginAt: lastSendTo }), null)
+  assert.equal(choose(engines, saturated, { lastBeginAt }), null)
 })
 
 nodeTest.test('an engine that is about to switch versions loses to one that is not', () => {
@@ -84,27 +84,27 @@
 })
 
 nodeTest.test('a call may be sent to a healthy, idle engine later than to others, but not without limit', () => {
-  const lastSendTo = (version: number): number => version < 2 ? NOW - 300 : Infinity
+  const lastBeginAt = (version: number): number => version < 2 ? NOW - 300 : Infinity
   const engines = [createEngine('old', 1)]
   const idle = createBackEndTracker.createBackEndTracker(() => NOW)
   idle.noteReport(types.brandId('old'), report(1, 2), NOW, 0)
-  assert.equal(choose(engines, idle, { lastBeginAt: lastSendTo }), null)
-  assert.equal(choose(engines, idle, { lastBeginAt: lastSendTo, pinnedVersion: 1 }), null, 'the link to it may be saturated')
+  assert.equal(choose(engines, idle, { lastBeginAt }), null)
+  assert.equal(choose(engines, idle, { lastBeginAt, pinnedVersion: 1 }), null, 'the link to it may be saturated')
   idle.noteConnect(types.brandId('old'), 4)
-  assert.equal(choose(engines, idle, { lastBeginAt: lastSendTo }), 'old')
-  assert.equal(choose(engines, idle, { lastBeginAt: lastSendTo, pinnedVersion: 1 }), 'old')
-  assert.equal(choose(engines, idle, { lastBeginAt: lastSendTo, pinnedVersion: 1, tried: new Set([types.brandId<types.NodeId>('mute')]) }), null, 'a second attempt may also be delayed')
+  assert.equal(choose(engines, idle, { lastBeginAt }), 'old')
+  assert.equal(choose(engines, idle, { lastBeginAt, pinnedVersion: 1 }), 'old')
+  assert.equal(choose(engines, idle, { lastBeginAt, pinnedVersion: 1, tried: new Set([types.brandId<types.NodeId>('mute')]) }), null, 'a second attempt may also be delayed')
   assert.equal(choose(engines, idle, { lastBeginAt: () => NOW - 800 }), null, 'its first event may come too late')
   const queued = createBackEndTracker.createBackEndTracker(() => NOW)
   queued.noteReport(types.brandId('old'), report(1, 2, 1), NOW, 0)
   queued.noteConnect(types.brandId('old'), 4)
-  assert.equal(choose(engines, queued, { lastBeginAt: lastSendTo, pinnedVersion: 1 }), null)
+  assert.equal(choose(engines, queued, { lastBeginAt, pinnedVersion: 1 }), null)
   const saturated = createBackEndTracker.createBackEndTracker(() => NOW)
   saturated.noteReport(types.brandId('old'), report(1, 2), NOW, 0)
   saturated.noteConnect(types.brandId('old'), 160)
-  assert.equal(choose(engines, saturated, { lastBeginAt: lastSendTo, pinnedVersion: 1 }), null)
+  assert.equal(choose(engines, saturated, { lastBeginAt, pinnedVersion: 1 }), null)
   const unknown = createBackEndTracker.createBackEndTracker(() => NOW)
-  assert.equal(choose(engines, unknown, { lastBeginAt: lastSendTo, pinnedVersion: 1 }), null)
+  assert.equal(choose(engines, unknown, { lastBeginAt, pinnedVersion: 1 }), null)
 })
 
 nodeTest.test('a resumed stream avoids engines that switch versions soon, because it can move only once', () => {
--- a/packages/membership/src/createMemberView/index.ts
+++ b/packages/membership/src/createMemberView/index.ts
@@ -123,7 +123,7 @@
     return known
   }
 
-  function hear (facts: types.MemberFacts): void {
+  function applyHeartbeat (facts: types.MemberFacts): void {
     const entry = upsert(facts)
     if (facts.incarnation < entry.facts.incarnation) return
     entry.heardAt = options.now()
@@ -213,7 +213,7 @@
   }
 
   return {
-    applyHeartbeat: hear,
+    applyHeartbeat,
     applyClaims,
     refresh,
     changesSince,
--- a/packages/quarantine/src/_lib/crashSimulation.ts
+++ b/packages/quarantine/src/_lib/crashSimulation.ts
@@ -96,8 +96,8 @@
  */
 export function simulateCrashes (scenario: CrashScenario, seed: number): CrashResult {
   const random = standins.createSeededRandom(seed)
-  const timeline = standins.createVirtualClock()
-  const { now } = timeline
+  const clock = standins.createVirtualClock()
+  const { now } = clock
   const engines: Engine[] = Array.from({ length: scenario.engines }, (_, life) => ({ life, running: new Set(), isDown: false }))
   let nextLife = scenario.engines
   const counts = { endedByCrashingCall: 0, endedOtherwise: 0, calls: 0, cut: 0, refused: 0, crashingRefused: 0 }
@@ -111,7 +111,7 @@
   }
 
   function scheduleAfter (delayMs: number, action: () => void): void {
-    timeline.at(now() + delayMs, action)
+    clock.at(now() + delayMs, action)
   }
 
   /** Records a report at one gateway at once, and at the others after a delay unless it is lost. */
@@ -198,7 +198,7 @@
       for (let copy = 0; copy < scenario.copies; copy += 1) scheduleAfter(wave * MS_IN_SECOND + random() * WAVE_MS, () => { startTry(createCall(`crashing-${crashing}`, true)) })
     }
   }
-  timeline.run(Infinity)
+  clock.run(Infinity)
   const blocked = quarantines.map((each) => new Set(each.blocks().map(({ fingerprint }) => fingerprint)))
   const blockedAnywhere = new Set(blocked.flatMap((each) => [...each]))
   return {
--- a/packages/rate-limits/src/_lib/limitSimulation.ts
+++ b/packages/rate-limits/src/_lib/limitSimulation.ts
@@ -79,9 +79,9 @@
  * @returns The measured result.
  */
 export async function simulateLimit (scenario: LimitScenario): Promise<LimitResult> {
-  const timeline = standins.createVirtualClock()
+  const clock = standins.createVirtualClock()
   const random = standins.createSeededRandom(scenario.seed ?? SEED)
-  const { now } = timeline
+  const { now } = clock
   const substituteFraction = scenario.substituteFraction ?? chooseCounter.SUBSTITUTE_FRACTION
   const arrivals: number[] = []
   let datagrams = 0
@@ -92,7 +92,7 @@
   let hasPendingPromises = false
 
   function scheduleAt (time: number, action: () => void): void {
-    timeline.at(time, () => {
+    clock.at(time, () => {
       hasPendingPromises = true
       action()
     })
@@ -189,7 +189,7 @@
   for (const second of scenario.gatewaysRestartedAt ?? []) scheduleAt(second * types.MILLISECONDS_IN_SECOND, () => { for (let index = 0; index < scenario.gateways; index += 2) startGateway(index) })
   scheduleCall()
   for (let time = 0; time <= scenario.seconds * types.MILLISECONDS_IN_SECOND; time += STEP_MS) {
-    timeline.run(time)
+    clock.run(time)
     if (!hasPendingPromises) continue
     hasPendingPromises = false
     for (let turn = 0; turn < MICROTASK_TURNS; turn += 1) await Promise.resolve()
--- a/packages/staging/src/_lib/orderVersion.ts
+++ b/packages/staging/src/_lib/orderVersion.ts
@@ -53,12 +53,12 @@
     options.onPause(false)
   }
 
-  async function startVersion ({ id, namedAt: heardAt }: staging.NamedVersion, state: staging.EngineState, method: staging.SwitchMethod): Promise<void> {
+  async function startVersion ({ id, namedAt }: staging.NamedVersion, state: staging.EngineState, method: staging.SwitchMethod): Promise<void> {
     const outcome = await options.engine.start(id, state.sequence, method)
-    options.onEvent('version-ordered', { version: id.version, held: state.held, method, outcome, running: state.running, afterMs: Math.round(options.now() - heardAt) })
+    options.onEvent('version-ordered', { version: id.version, held: state.held, method, outcome, running: state.running, afterMs: Math.round(options.now() - namedAt) })
     await types.delay(ORDER_SETTLE_MS)
     const switchedMs = await waitForSwitch(id.version)
-    options.onEvent('version-switched', { version: id.version, tookMs: switchedMs, afterMs: Math.round(options.now() - heardAt) })
+    options.onEvent('version-switched', { version: id.version, tookMs: switchedMs, afterMs: Math.round(options.now() - namedAt) })
   }
 
   /**
--- a/packages/staging/src/createStager/index.ts
+++ b/packages/staging/src/createStager/index.ts
@@ -199,9 +199,9 @@
   }
 
   async function fetch (current: ActiveFetch): Promise<void> {
-    const { id, deadlineAt: boundAt, namedAt: heardAt } = current.target
+    const { id, deadlineAt, namedAt } = current.target
     const isCurrent = (): boolean => (active === current || prefetch === current) && !stopping.signal.aborted
-    const originFallbackAt = boundAt - ORIGIN_FALLBACK_LEAD_MS
+    const originFallbackAt = deadlineAt - ORIGIN_FALLBACK_LEAD_MS
     const manifest = await manifests.obtain(id, originFallbackAt, isCurrent)
     if (manifest === null || !isCurrent()) return
     current.fetcher = createPieceFetcher.createPieceFetcher({
@@ -213,7 +213,7 @@
     })
     if (!await current.fetcher.completion) return
     completeAt.set(id.version, options.now())
-    options.onEvent('version-whole', { version: id.version, afterMs: Math.round(options.now() - heardAt), ...current.fetcher.counts })
+    options.onEvent('version-whole', { version: id.version, afterMs: Math.round(options.now() - namedAt), ...current.fetcher.counts })
     wake()
   }
 
--- a/packages/staging/src/selectVersion/test.ts
+++ b/packages/staging/src/selectVersion/test.ts
@@ -5,8 +5,8 @@
 
 const FULL_FETCH_MS = 4500
 
-function createNamed (version: number, heardAt: number): staging.NamedVersion {
-  return { id: { model: 'm', version }, namedAt: heardAt, deadlineAt: heardAt + 8000 }
+function createNamed (version: number, namedAt: number): staging.NamedVersion {
+  return { id: { model: 'm', version }, namedAt, deadlineAt: namedAt + 8000 }
 }
 
 function select (now: number, held: number, named: readonly staging.NamedVersion[], progress: Readonly<Record<number, number>> = {}, minimumVersion = 0): number | null {
