--- a/packages/clock/src/createSteadyClock/test.ts
+++ b/packages/clock/src/createSteadyClock/test.ts
@@ -13,14 +13,14 @@
 
 /** Creates a machine that reports its own uptime, or the uptime of another machine, which advances more slowly. */
 function createMachine (isUptimeReliable: boolean): SimulatedMachine {
-  let steady = 1000
+  let monotonicMs = 1000
   let day = 1_790_000_000_000
   let uptime = 50_000
-  const clock = createSteadyClock.createSteadyClock({ monotonic: () => steady, timeOfDay: () => day, uptime: () => uptime })
+  const clock = createSteadyClock.createSteadyClock({ monotonic: () => monotonicMs, timeOfDay: () => day, uptime: () => uptime })
   const suspensions: createSteadyClock.Suspension[] = []
   clock.onSuspension((suspension) => { suspensions.push(suspension) })
   const advance = (milliseconds: number): void => {
-    steady += milliseconds
+    monotonicMs += milliseconds
     day += milliseconds
     uptime += isUptimeReliable ? milliseconds : milliseconds / 3
   }
--- a/packages/daemon/src/_lib/suspendedLease.test.ts
+++ b/packages/daemon/src/_lib/suspendedLease.test.ts
@@ -8,11 +8,11 @@
 const OPTIONS = { durationMs: DURATION_MS, marginMs: 2000 }
 
 nodeTest.test('a holder that was suspended for longer than the lease duration no longer holds the lease', async () => {
-  let steady = 0
+  let monotonicMs = 0
   let suspendedMs = 0
-  const { now } = clock.createSteadyClock({ monotonic: () => steady, timeOfDay: () => steady + suspendedMs, uptime: () => steady + suspendedMs })
+  const { now } = clock.createSteadyClock({ monotonic: () => monotonicMs, timeOfDay: () => monotonicMs + suspendedMs, uptime: () => monotonicMs + suspendedMs })
   const advance = (milliseconds: number): void => {
-    steady += milliseconds
+    monotonicMs += milliseconds
     now()
   }
   advance(2000)
--- a/packages/daemon/src/createFleetExchange/index.ts
+++ b/packages/daemon/src/createFleetExchange/index.ts
@@ -50,7 +50,7 @@
  */
 export async function createFleetExchange (options: FleetExchangeOptions): Promise<FleetExchange> {
   const { parts } = options
-  const keptMirrors = new Map<string, store.MirrorSync>()
+  const mirrorSyncs = new Map<string, store.MirrorSync>()
   /** Null until the socket is open; no peers are known before that. */
   let openedGossip: spread.Gossip | null = null
   const { role, zone } = parts.settings
@@ -69,7 +69,7 @@
     mirrors: parts.mirrors,
     zone,
     canServe: (peer, kind) => copyParts.includesPart(copyParts.partForRole(kind, peer.role), copyParts.partForRole(kind, role)),
-    isWatching: (kind) => keptMirrors.get(kind)?.isWatching() ?? false,
+    isWatching: (kind) => mirrorSyncs.get(kind)?.isWatching() ?? false,
     otherHallGraceMs: watchDuty.otherHallGraceMs,
     fetchChanges: options.fetchChanges,
     onRequest: (kind, isOwnHall) => { parts.metrics.count('copies_asked', { kind, hall: formatHallLabel(isOwnHall) }) },
@@ -122,7 +122,7 @@
     now: parts.now
   })
   openedGossip = gossip
-  parts.clock.onSuspension(() => { for (const mirror of keptMirrors.values()) mirror.restartWatch() })
+  parts.clock.onSuspension(() => { for (const mirror of mirrorSyncs.values()) mirror.restartWatch() })
 
   function recordAdoptedCopy (kind: string, { host, changes, bytes, isOwnHall }: spread.AdoptedCopy): void {
     parts.metrics.count('copies_bytes', { kind, hall: formatHallLabel(isOwnHall) }, bytes)
@@ -130,34 +130,34 @@
   }
 
   function isStoreLost (): boolean {
-    return [...keptMirrors.values()].some((mirror) => !mirror.isReachable())
+    return [...mirrorSyncs.values()].some((mirror) => !mirror.isReachable())
   }
 
-  function keepMirror (mirror: store.Mirror, collections: store.CollectionStore): void {
-    keptMirrors.set(mirror.kind, store.syncMirror({
+  function startMirrorSync (mirror: store.Mirror, collections: store.CollectionStore): void {
+    mirrorSyncs.set(mirror.kind, store.syncMirror({
       mirror,
       store: collections,
       waitMs: computeWatchTimeoutMs(parts.settings),
       random: options.random,
-      mayWatch: () => watchDuty.mayWatch(mirror.isInitialized(), keptMirrors.get(mirror.kind)?.isReachable() ?? true, mirror.kind === platform.OBJECT_KINDS.configuration ? 'each-hall' : 'few-halls'),
+      mayWatch: () => watchDuty.mayWatch(mirror.isInitialized(), mirrorSyncs.get(mirror.kind)?.isReachable() ?? true, mirror.kind === platform.OBJECT_KINDS.configuration ? 'each-hall' : 'few-halls'),
       mayWatchChanged: async () => { await new Promise<void>((resolve) => { pendingWakes.push(resolve) }) },
       onReachabilityChange: (isReachable, reason) => { parts.logger.warn(isReachable ? 'store-regained' : 'store-lost', { kind: mirror.kind, reason }) }
     }))
     mirror.onChange(() => { gossip.sendNow() })
   }
 
-  if (options.store !== null) for (const mirror of parts.mirrors) keepMirror(mirror, options.store)
+  if (options.store !== null) for (const mirror of parts.mirrors) startMirrorSync(mirror, options.store)
   return {
     gossip,
     facts,
     send,
     mayAskStore: () => options.store !== null && watchDuty.mayWatch(true, !isStoreLost(), 'few-halls'),
-    storeState: () => [...keptMirrors.entries()].map(([kind, mirror]) => ({ kind, isReachable: mirror.isReachable() })),
+    storeState: () => [...mirrorSyncs.entries()].map(([kind, mirror]) => ({ kind, isReachable: mirror.isReachable() })),
     isStoreLost,
     reload: (next) => { gossip.addHosts(createFleetParts.readSeedHosts(next)) },
     stop: () => {
       isStopped = true
-      for (const mirror of keptMirrors.values()) mirror.stop()
+      for (const mirror of mirrorSyncs.values()) mirror.stop()
       sync.stop()
       gossip.stop()
     }
--- a/packages/daemon/src/createVersionRecord/index.ts
+++ b/packages/daemon/src/createVersionRecord/index.ts
@@ -18,7 +18,7 @@
   readonly note: (id: staging.VersionId, ageMs: number) => boolean
   /** Returns all versions of a model, oldest first. */
   readonly named: (model: string) => readonly staging.NamedVersion[]
-  /** Returns the monotonic time in milliseconds from which no call may be sent to a version, since it would begin after the bound. */
+  /** Returns the monotonic time in milliseconds from which no call may be sent to a version, since it would begin after the deadline for older versions. */
   readonly lastSendTo: (model: string, version: number) => number
   /** The newest few versions of each model, for peers. */
   readonly recentVersions: () => readonly VersionAnnouncement[]
@@ -30,17 +30,17 @@
 export interface VersionRecordOptions {
   /** Time from the announcement of a version until no call may begin on an older one, in milliseconds. */
   readonly boundMs: number
-  /** Calls are no longer sent to older versions this many milliseconds before the bound, since they may queue at the engine. */
+  /** Calls are no longer sent to older versions this many milliseconds before the deadline, since they may queue at the engine. */
   readonly marginMs: number
-  /** Bound in milliseconds, if shorter than the usual one, for versions that this process reads right after its start, since they may have been announced before it. */
+  /** Replaces {@link VersionRecordOptions.boundMs}, if shorter, in milliseconds, for versions that this process reads right after its start, since they may have been announced before it. */
   readonly startupBoundMs: number
-  /** Called when a version is new, or when its bound moves earlier by a second or more. */
+  /** Called when a version is new, or when its deadline moves earlier by a second or more. */
   readonly onBound: (id: staging.VersionId, bound: VersionBound) => void
   /** Monotonic clock in milliseconds. */
   readonly now: () => number
 }
 
-/** The known age and bound of a version. */
+/** The known age of a version and the time left until its deadline. */
 export interface VersionBound {
   /** Milliseconds since any daemon first heard of it, according to the latest report. */
   readonly ageMs: number
@@ -48,7 +48,7 @@
   readonly leftMs: number
 }
 
-/** Bounds reported by peers vary by the transmission time; a difference of a second or more has another cause. */
+/** Deadlines derived from reports of peers vary by the transmission time; a difference of a second or more has another cause. */
 const EARLIER_BOUND_THRESHOLD_MS = 1000
 /** The version of a model for which none was announced. */
 const FIRST_VERSION = 1
@@ -65,7 +65,7 @@
   const models = new Map<string, Map<number, staging.NamedVersion>>()
   const startedAt = options.now()
 
-  /** Returns the bound for a version of age 0. Right after its start a process can't know how long ago the version was announced, so the shorter bound applies. */
+  /** Returns the time until the deadline of a version of age 0, in milliseconds. Right after its start a process can't know how long ago the version was announced, so the shorter time applies. */
   function currentBoundMs (): number {
     return options.now() - startedAt < STARTUP_WINDOW_MS ? Math.min(options.startupBoundMs, options.boundMs) : options.boundMs
   }
--- a/packages/daemon/src/createVersionRecord/test.ts
+++ b/packages/daemon/src/createVersionRecord/test.ts
@@ -6,7 +6,7 @@
   return createVersionRecord.createVersionRecord({ boundMs: 8000, marginMs: 1000, startupBoundMs: 2800, onBound: () => {}, now: () => time.now })
 }
 
-nodeTest.test('an older version gets no calls once the margin before the bound begins', () => {
+nodeTest.test('an older version gets no calls once the margin before the deadline begins', () => {
   const time = { now: 0 }
   const versions = createRecord(time)
   time.now = 10_000
--- a/packages/daemon/src/createWatchDuty/index.ts
+++ b/packages/daemon/src/createWatchDuty/index.ts
@@ -27,11 +27,11 @@
   /**
    * Returns whether this daemon may send requests about a kind to the store now.
    *
-   * @param isKnown - Whether there is a copy of the kind.
+   * @param isInitialized - Whether there is a copy of the kind.
    * @param isReachable - Whether the store answered the last call for the kind. If it did not, the daemon may keep trying.
    * @param scope - Which daemons watch the kind.
    */
-  readonly mayWatch: (isKnown: boolean, isReachable: boolean, scope: WatchScope) => boolean
+  readonly mayWatch: (isInitialized: boolean, isReachable: boolean, scope: WatchScope) => boolean
   /** How long this daemon waits for its own hall before it requests a copy from another hall, in milliseconds. */
   readonly otherHallGraceMs: () => number
 }
@@ -118,10 +118,10 @@
   }
 
   return {
-    mayWatch: (isKnown, isReachable, scope) => {
+    mayWatch: (isInitialized, isReachable, scope) => {
       if (!isReachable) return true
       if (now() - startedAt < STARTUP_WAIT_MS) return false
-      return elect().isWatcher[scope] || (!isKnown && mayList())
+      return elect().isWatcher[scope] || (!isInitialized && mayList())
     },
     otherHallGraceMs: () => options.role === 'agent' ? AGENT_REMOTE_HALL_DELAY_MS : Math.min(REMOTE_HALL_MAXIMUM_MS, (1 + elect().rank) * REMOTE_HALL_STEP_MS)
   }
--- a/packages/daemon/src/createWatchDuty/test.ts
+++ b/packages/daemon/src/createWatchDuty/test.ts
@@ -18,7 +18,7 @@
   readonly silent: Set<string>
   readonly advance: (milliseconds: number) => void
   /** Nodes that watch the store. */
-  readonly watching: (isKnown?: boolean, scope?: createWatchDuty.WatchScope) => string[]
+  readonly watching: (isInitialized?: boolean, scope?: createWatchDuty.WatchScope) => string[]
 }
 
 /** Creates the gateways of one hall: the first eight of the ranking hear the first four every 100 ms, and all others hear each other every 1.5 s. */
@@ -56,7 +56,7 @@
         if (time % SLOW_HEARTBEAT_MS === 0) for (const [node, at] of heardAt) slowHeardAt.set(node, at)
       }
     },
-    watching: (isKnown = true, scope = 'each-hall') => nodes.filter((node) => !silent.has(node) && duties.get(node)?.mayWatch(isKnown, !withoutStore.has(node), scope))
+    watching: (isInitialized = true, scope = 'each-hall') => nodes.filter((node) => !silent.has(node) && duties.get(node)?.mayWatch(isInitialized, !withoutStore.has(node), scope))
   }
 }
 
--- a/packages/daemon/src/startAgentRole/index.ts
+++ b/packages/daemon/src/startAgentRole/index.ts
@@ -148,7 +148,7 @@
       },
       engine,
       origin: platform.createOriginClient(findOrigin, parts.agents, (bytes) => { metrics.count('origin_bytes', {}, bytes) }),
-      agents: listDependableAgents,
+      agents: listReliableAgents,
       expectedZones: () => now() - startedAt < ZONE_DISCOVERY_MS ? checked.zones : [],
       fetchFromPeer: async (peer, id, wanted, mayRefer, { onHead, onBytes }) => {
         const headers = { [NODE_HEADER]: self.node, ...(mayRefer ? { [MAY_REFER_HEADER]: '1' } : {}) }
@@ -194,7 +194,7 @@
   }
 
   /** Lists the agents that all others may depend on for pieces, including this one unless it was voted out. */
-  function listDependableAgents (): staging.StagingPeer[] {
+  function listReliableAgents (): staging.StagingPeer[] {
     const fetchingMs = stager?.fetchingMs() ?? 0
     const livePeers = gossip.peers().filter((peer) => staging.isRecentlyHeard({
       isOwnZone: peer.heartbeat.zone === checked.zone,
@@ -275,7 +275,7 @@
   const closeMetrics = await openOperatorEndpoints.openOperatorEndpoints(parts, () => ({
     ...createFleetParts.describeSelf(parts, { isLeaving, isStoreLost: false }, null, listSuspects()),
     engine: report === null ? null : { ...report, models: Object.fromEntries(report.models), isPaused, changesInMs },
-    agents: listDependableAgents().map((agent) => agent.node)
+    agents: listReliableAgents().map((agent) => agent.node)
   }))
 
   logger.info('started', { role: 'agent', engine: engineAddress, internalPort: checked.internal_port })
--- a/packages/daemon/src/startAgentRole/test.ts
+++ b/packages/daemon/src/startAgentRole/test.ts
@@ -70,10 +70,10 @@
   const { fleet, engines } = await openAgents(context, [1])
   const [engine] = engines as [testing.EngineStandIn]
   const put = engine.stage.set.bind(engine.stage)
-  let spoilt = 0
+  let putsOfPiece = 0
   engine.stage.set = (piece, bytes) => {
-    spoilt += piece === 3 ? 1 : 0
-    return put(piece, piece === 3 && spoilt === 1 ? Buffer.from('spoilt') : bytes)
+    putsOfPiece += piece === 3 ? 1 : 0
+    return put(piece, piece === 3 && putsOfPiece === 1 ? Buffer.from('spoilt') : bytes)
   }
   announceVersion(fleet, 2)
   await fleetTesting.waitUntil(() => engine.version() === 2)
--- a/packages/gateway/src/_lib/loadSimulation.ts
+++ b/packages/gateway/src/_lib/loadSimulation.ts
@@ -148,7 +148,7 @@
     clock.at(random() * everyMs, sendReport)
   }
 
-  function readRoom (from: SimulatedGateway, id: types.NodeId): limiters.RateAllowance | null {
+  function readAllowance (from: SimulatedGateway, id: types.NodeId): limiters.RateAllowance | null {
     if (!limit.isEnforced || !limited.has(id)) return null
     return { perSecond: limit.perSecond, waitMs: Math.max(0, (from.permitExpectedAt.get(id) ?? 0) - clock.now()) }
   }
@@ -173,7 +173,7 @@
       answerTokens: kind.events * simulatedEngine.STEPS_PER_PASS,
       lastBeginAt: () => Infinity,
       endsAt: askedAt + CALL_TIMEOUT_MS,
-      readAllowance: ({ id }) => readRoom(from, id),
+      readAllowance: ({ id }) => readAllowance(from, id),
       mayRequestPermit: true,
       pinnedVersion: null,
       tried,
--- a/packages/staging/src/listReliableAgents/index.ts
+++ b/packages/staging/src/listReliableAgents/index.ts
@@ -33,8 +33,8 @@
 export function listReliableAgents (self: staging.StagingPeer, others: readonly staging.StagingPeer[], suspicions: readonly (readonly string[])[], resigned: readonly string[] = []): staging.StagingPeer[] {
   const mayExcludeResigned = resigned.length <= (others.length + 1) * RESIGNED_MAXIMUM_FRACTION
   const excluded = new Set([...listOutvoted([self, ...others], suspicions), ...(mayExcludeResigned ? resigned : [])])
-  const dependable = others.filter((agent) => !excluded.has(agent.node))
-  return excluded.has(self.node) && dependable.length > 0 ? dependable : [self, ...dependable]
+  const reliable = others.filter((agent) => !excluded.has(agent.node))
+  return excluded.has(self.node) && reliable.length > 0 ? reliable : [self, ...reliable]
 }
 
 /**
