--- a/packages/daemon/src/createCallQuarantine/index.ts
+++ b/packages/daemon/src/createCallQuarantine/index.ts
@@ -8,7 +8,7 @@
 /** Options of {@link createCallQuarantine}. */
 export interface CallQuarantineOptions extends Omit<createSharedQuarantine.SharedQuarantineOptions, 'onReportedEnd'> {
   readonly backEnds: () => readonly gateway.BackEnd[]
-  readonly book: Pick<gateway.BackEndTracker, 'noteProcessEnded' | 'noteFailure'>
+  readonly tracker: Pick<gateway.BackEndTracker, 'noteProcessEnded' | 'noteFailure'>
   readonly probe: (address: types.Address, timeoutMs: number) => Promise<quarantine.ProbeResult>
 }
 
@@ -34,7 +34,7 @@
  * @returns The quarantine.
  */
 export function createCallQuarantine (options: CallQuarantineOptions): CallQuarantine {
-  const { book, count, now } = options
+  const { tracker: book, count, now } = options
   const probes = new Map<types.BackEndInstanceId, CachedProbe>()
   const shared = createSharedQuarantine.createSharedQuarantine({ ...options, onReportedEnd: handleReportedEnd })
 
--- a/packages/daemon/src/createFleetExchange/suspended.test.ts
+++ b/packages/daemon/src/createFleetExchange/suspended.test.ts
@@ -28,7 +28,7 @@
 /** Computes for how many milliseconds a gateway still sends calls to the first version. */
 function computeRemainingSendMs (gateway: simulatedFleet.SimulatedDaemon): number {
   const { versions, now } = gateway.parts()
-  return versions.lastSendTo(MODEL, 1) - now()
+  return versions.lastBeginAt(MODEL, 1) - now()
 }
 
 nodeTest.test('a gateway that was suspended, and receives nothing after it, keeps the deadline of a version change made before', async (context) => {
--- a/packages/daemon/src/createVersionRecord/index.ts
+++ b/packages/daemon/src/createVersionRecord/index.ts
@@ -19,7 +19,7 @@
   /** Returns all versions of a model, oldest first. */
   readonly named: (model: string) => readonly staging.NamedVersion[]
   /** Returns the monotonic time in milliseconds from which no call may be sent to a version, since it would begin after the deadline for older versions. */
-  readonly lastSendTo: (model: string, version: number) => number
+  readonly lastBeginAt: (model: string, version: number) => number
   /** The newest few versions of each model, for peers. */
   readonly recentVersions: () => readonly VersionAnnouncement[]
   /** Corrects times recorded between the end of a suspension and its detection: the clock had not yet included the time lost. */
@@ -100,7 +100,7 @@
     note,
     noteSuspension,
     named,
-    lastSendTo: (model, version) => {
+    lastBeginAt: (model, version) => {
       let earliest = Infinity
       for (const newer of models.get(model)?.values() ?? []) {
         if (newer.id.version > version) earliest = Math.min(earliest, newer.deadlineAt - options.marginMs)
--- a/packages/daemon/src/createVersionRecord/test.ts
+++ b/packages/daemon/src/createVersionRecord/test.ts
@@ -11,9 +11,9 @@
   const versions = createRecord(time)
   time.now = 10_000
   versions.note({ model: 'm', version: 2 }, 0)
-  assert.equal(versions.lastSendTo('m', 1), 17_000)
-  assert.equal(versions.lastSendTo('m', 2), Infinity)
-  assert.equal(versions.lastSendTo('other', 1), Infinity)
+  assert.equal(versions.lastBeginAt('m', 1), 17_000)
+  assert.equal(versions.lastBeginAt('m', 2), Infinity)
+  assert.equal(versions.lastBeginAt('other', 1), Infinity)
 })
 
 nodeTest.test('the highest reported age counts, and a starting process applies a short bound', () => {
@@ -21,12 +21,12 @@
   const versions = createRecord(time)
   time.now = 500
   versions.note({ model: 'm', version: 2 }, 0)
-  assert.equal(versions.lastSendTo('m', 1), 2300)
+  assert.equal(versions.lastBeginAt('m', 1), 2300)
   time.now = 10_000
   versions.note({ model: 'm', version: 3 }, 0)
   versions.note({ model: 'm', version: 3 }, 3000)
   versions.note({ model: 'm', version: 3 }, 1000)
-  assert.equal(versions.lastSendTo('m', 2), 14_000)
+  assert.equal(versions.lastBeginAt('m', 2), 14_000)
 })
 
 nodeTest.test('a model without an announced version runs its first one', () => {
--- a/packages/staging/src/_lib/peerRequests.ts
+++ b/packages/staging/src/_lib/peerRequests.ts
@@ -13,7 +13,7 @@
 /** Callbacks for an answer that is being received. */
 export interface PieceReceiver {
   /** Called when the header of the answer has arrived. */
-  readonly onHead: () => void
+  readonly onHeaders: () => void
   readonly onBytes: (bytes: number) => void
 }
 
@@ -108,7 +108,7 @@
     openRequests.add(open)
     const answered = await options.fetchFromPeer(peer, options.id, wanted, mayRefer, {
       onBytes: (bytes) => { options.window.recordBytes(peer.node, bytes) },
-      onHead: () => { endArrival = options.window.beginArrival() }
+      onHeaders: () => { endArrival = options.window.beginArrival() }
     })
     openRequests.delete(open)
     endArrival()
--- a/packages/staging/src/_lib/stagingFleet.ts
+++ b/packages/staging/src/_lib/stagingFleet.ts
@@ -288,7 +288,7 @@
       origin: createOrigin(name),
       agents: listAgents,
       expectedZones: () => now() - startedAt < ZONES_EXPECTED_MS ? REGIONS : [],
-      fetchFromPeer: async (peer, id, wanted, mayRefer, { onHead, onBytes }) => {
+      fetchFromPeer: async (peer, id, wanted, mayRefer, { onHeaders: onHead, onBytes }) => {
         const fetched = await ask<createPieceFetcher.SentPiece | createPieceStore.Referral>(name, peer.node, async (other) => {
           const answer = await other.stager.providePiece(id, wanted, { node: self.node, mayRefer, waitMs: createStager.PIECE_WAIT_MS })
           if (answer === null || 'holder' in answer) return { value: answer, bytes: REQUEST_BYTES }
