--- a/packages/daemon/src/createCallQuarantine/index.ts
+++ b/packages/daemon/src/createCallQuarantine/index.ts
@@ -34,7 +34,7 @@
  * @returns The quarantine.
  */
 export function createCallQuarantine (options: CallQuarantineOptions): CallQuarantine {
-  const { tracker: book, count, now } = options
+  const { tracker, count, now } = options
   const probes = new Map<types.BackEndInstanceId, CachedProbe>()
   const shared = createSharedQuarantine.createSharedQuarantine({ ...options, onReportedEnd: handleReportedEnd })
 
@@ -60,7 +60,7 @@
     const verdict = quarantine.classifyLostAttempt({ isClosedByPeer: true, isLeaving: wasLeaving, probe: await probe(life, backEnd.address) })
     count('calls_lost', { verdict })
     if (verdict !== 'ended') return
-    book.noteProcessEnded(backEnd.id)
+    tracker.noteProcessEnded(backEnd.id)
     shared.noteEnd({ life, name: backEnd.id, service: backEnd.service }, call)
   }
 
@@ -68,7 +68,7 @@
   function handleReportedEnd (life: types.BackEndInstanceId, at: number): void {
     if (now() - at > RECENT_END_MS) return
     const ended = findByLife.findByLife(options.backEnds(), life)
-    if (ended !== undefined) book.noteFailure(ended.id)
+    if (ended !== undefined) tracker.noteFailure(ended.id)
   }
 
   return { ...shared, noteConnectionLost }
--- a/packages/daemon/src/startAgentRole/index.ts
+++ b/packages/daemon/src/startAgentRole/index.ts
@@ -150,9 +150,9 @@
       origin: platform.createOriginClient(findOrigin, parts.agents, (bytes) => { metrics.count('origin_bytes', {}, bytes) }),
       agents: listReliableAgents,
       expectedZones: () => now() - startedAt < ZONE_DISCOVERY_MS ? checked.zones : [],
-      fetchFromPeer: async (peer, id, wanted, mayRefer, { onHeaders: onHead, onBytes }) => {
+      fetchFromPeer: async (peer, id, wanted, mayRefer, { onHeaders, onBytes }) => {
         const headers = { [NODE_HEADER]: self.node, ...(mayRefer ? { [MAY_REFER_HEADER]: '1' } : {}) }
-        const fetched = await requestFromAgent(peer, `${PIECES_PATH}${encodeURIComponent(id.model)}/${id.version}/${wanted.join()}`, headers, { onHeaders: onHead, onBytes })
+        const fetched = await requestFromAgent(peer, `${PIECES_PATH}${encodeURIComponent(id.model)}/${id.version}/${wanted.join()}`, headers, { onHeaders, onBytes })
         if (!fetched.ok || fetched.value === null) return fetched.ok ? types.succeed(null) : fetched
         const piece = Number(fetched.value.headers[PIECE_HEADER])
         const holder = fetched.value.headers[HOLDER_HEADER]
