--- a/packages/daemon/src/_lib/findByLife.ts
+++ b/packages/daemon/src/_lib/findByInstanceId.ts
@@ -6,9 +6,9 @@
  * Finds a backend server by its instance identifier, which is formed from its id and start time.
  *
  * @param backEnds - The listed backend servers.
- * @param life - The instance identifier.
+ * @param instanceId - The instance identifier.
  * @returns The backend server; undefined if it is not listed, or is listed with another start time.
  */
-export function findByLife (backEnds: readonly gateway.BackEnd[], life: types.BackEndInstanceId): gateway.BackEnd | undefined {
-  return backEnds.find(({ id, bornAt }) => types.formatBackEndInstanceId(id, bornAt) === life)
+export function findByInstanceId (backEnds: readonly gateway.BackEnd[], instanceId: types.BackEndInstanceId): gateway.BackEnd | undefined {
+  return backEnds.find(({ id, bornAt }) => types.formatBackEndInstanceId(id, bornAt) === instanceId)
 }
--- a/packages/daemon/src/createCallQuarantine/index.ts
+++ b/packages/daemon/src/createCallQuarantine/index.ts
@@ -3,7 +3,7 @@
 import * as quarantine from '@switchridge/quarantine'
 import * as types from '@switchridge/types'
 import * as createSharedQuarantine from '../createSharedQuarantine/index.js'
-import * as findByLife from '../_lib/findByLife.js'
+import * as findByInstanceId from '../_lib/findByInstanceId.js'
 
 /** Options of {@link createCallQuarantine}. */
 export interface CallQuarantineOptions extends Omit<createSharedQuarantine.SharedQuarantineOptions, 'onReportedEnd'> {
@@ -39,12 +39,12 @@
   const shared = createSharedQuarantine.createSharedQuarantine({ ...options, onReportedEnd: handleReportedEnd })
 
   /** Opens one connection for all calls that are lost with the same back end. */
-  async function probe (life: types.BackEndInstanceId, address: types.Address): Promise<quarantine.ProbeResult> {
-    const cached = probes.get(life)
+  async function probe (instanceId: types.BackEndInstanceId, address: types.Address): Promise<quarantine.ProbeResult> {
+    const cached = probes.get(instanceId)
     if (cached !== undefined && now() - cached.at < PROBE_CACHE_MS) return await cached.result
     for (const [other, { at }] of probes) if (now() - at >= PROBE_CACHE_MS) probes.delete(other)
     const result = options.probe(address, PROBE_TIMEOUT_MS)
-    probes.set(life, { result, at: now() })
+    probes.set(instanceId, { result, at: now() })
     return await result
   }
 
@@ -65,9 +65,9 @@
   }
 
   /** A peer's report makes a back end a worse choice; only this gateway's own probe excludes it. */
-  function handleReportedEnd (life: types.BackEndInstanceId, at: number): void {
+  function handleReportedEnd (instanceId: types.BackEndInstanceId, at: number): void {
     if (now() - at > RECENT_END_MS) return
-    const ended = findByLife.findByLife(options.backEnds(), life)
+    const ended = findByInstanceId.findByInstanceId(options.backEnds(), instanceId)
     if (ended !== undefined) tracker.noteFailure(ended.id)
   }
 
--- a/packages/daemon/src/createRateLimiter/index.ts
+++ b/packages/daemon/src/createRateLimiter/index.ts
@@ -5,7 +5,7 @@
 import * as types from '@switchridge/types'
 import type * as createFleetExchange from '../createFleetExchange/index.js'
 import type * as createFleetParts from '../createFleetParts/index.js'
-import * as findByLife from '../_lib/findByLife.js'
+import * as findByInstanceId from '../_lib/findByInstanceId.js'
 import * as rateLimitFacts from '../_lib/rateLimitFacts.js'
 
 /** Options of {@link createRateLimiter}. */
@@ -76,13 +76,13 @@
   }
 
   function findCounter (life: types.BackEndInstanceId): rateLimits.ChosenCounter | null {
-    const backEnd = findByLife.findByLife(backEnds(), life)
+    const backEnd = findByInstanceId.findByInstanceId(backEnds(), life)
     return backEnd === undefined ? null : rateLimits.chooseCounter({ life, host: backEnd.address.host, zone: backEnd.zone }, listCandidates())
   }
 
   /** Returns the fraction of a limit for which this gateway may grant permits; null if another daemon counts them. */
-  function grantableFraction (life: types.BackEndInstanceId): number | null {
-    const chosen = findCounter(life)
+  function grantableFraction (instanceId: types.BackEndInstanceId): number | null {
+    const chosen = findCounter(instanceId)
     return chosen?.host === ownHost ? chosen.part : null
   }
 
--- a/packages/spread/src/_lib/createHallRelay.ts
+++ b/packages/spread/src/_lib/createHallRelay.ts
@@ -23,8 +23,8 @@
 
 /** Sends and forwards digests; a daemon that is no relay only forwards them. */
 export interface HallRelay {
-  /** Forwards a received digest within the hall; `hasNews` tells whether it contains anything that was not known. */
-  readonly forwardDigest: (header: wire.DigestHeader, delayMs: number, body: string, hasNews: boolean) => void
+  /** Forwards a received digest within the hall; `hasNewContent` tells whether it contains anything that was not known. */
+  readonly forwardDigest: (header: wire.DigestHeader, delayMs: number, body: string, hasNewContent: boolean) => void
   /** Sends the digests that are due. */
   readonly tick: () => void
   /** Records that the first relay has begun a digest round: the other relay begins its own one half a period later. */
@@ -70,8 +70,8 @@
   let turn = 0
 
   /** Forwards a digest; the member that it reaches first leaves the whole hall to one other member, so that relays send less. */
-  function forwardDigest (header: wire.DigestHeader, delayMs: number, body: string, hasNews: boolean): void {
-    if (header.audience === 'nobody' || (header.range === null && !hasNews)) return
+  function forwardDigest (header: wire.DigestHeader, delayMs: number, body: string, hasNewContent: boolean): void {
+    if (header.audience === 'nobody' || (header.range === null && !hasNewContent)) return
     const audienceHosts = listAudienceHosts(header.audience)
     if (header.range === null) forwardTo(rotateStart(audienceHosts), { ...header, ingressHost: ownHost }, delayMs, body, 1)
     else forwardTo(relays.selectRange(audienceHosts, header.range).filter((host) => host !== header.ingressHost), header, delayMs, body)
--- a/packages/spread/src/_lib/wire.ts
+++ b/packages/spread/src/_lib/wire.ts
@@ -58,11 +58,11 @@
   readonly ingressHost: string
 }
 
-/** A datagram: a heartbeat, an engine report (`news`), a keepalive (`sign`), hosts to contact, or a digest. `sentAt` is the sender's monotonic clock in milliseconds. */
+/** A datagram: a heartbeat, an engine report, a keepalive, hosts to contact, or a digest. `sentAt` is the sender's monotonic clock in milliseconds. */
 export type Message =
   | { readonly type: 'heartbeat', readonly sentAt: number, readonly heartbeat: heartbeats.Heartbeat, readonly viewHash: number, readonly urgency: Urgency }
-  | { readonly type: 'news', readonly sentAt: number, readonly engine: unknown }
-  | { readonly type: 'sign', readonly isRound: boolean }
+  | { readonly type: 'engine-report', readonly sentAt: number, readonly engine: unknown }
+  | { readonly type: 'keepalive', readonly isRound: boolean }
   | { readonly type: 'hosts', readonly hosts: readonly string[] }
   | { readonly type: 'digest', readonly header: DigestHeader, readonly digest: Digest, readonly body: string }
 
@@ -304,8 +304,8 @@
   const head = requireShape(JSON.parse(end < 0 ? text : text.slice(0, end)), isArray)
   switch (head[0]) {
     case 'h': return parseHeartbeat(head)
-    case 'n': return { type: 'news', sentAt: requireShape(head[1], isNumber), engine: head[2] ?? null }
-    case 'r': return { type: 'sign', isRound: requireShape(head[1], isNumber) === 1 }
+    case 'n': return { type: 'engine-report', sentAt: requireShape(head[1], isNumber), engine: head[2] ?? null }
+    case 'r': return { type: 'keepalive', isRound: requireShape(head[1], isNumber) === 1 }
     case 'a': return { type: 'hosts', hosts: requireShape(head[1], isStringList) }
     case 'd': return parseDigest(head, text.slice(end + 1))
     default: return null
--- a/packages/spread/src/createGossip/index.ts
+++ b/packages/spread/src/createGossip/index.ts
@@ -140,15 +140,15 @@
     const { message } = decoded
     if (options.clock.isUncertain()) compareClocks(message, from)
     else if (message.type === 'heartbeat') noteHeartbeat(message, from)
-    else if (message.type === 'news') noteEngineReport(message, from)
-    else if (message.type === 'sign') noteKeepalive(message.isRound, from)
+    else if (message.type === 'engine-report') noteEngineReport(message, from)
+    else if (message.type === 'keepalive') noteKeepalive(message.isRound, from)
     else if (message.type === 'hosts') discovery.addHosts(message.hosts)
     else noteDigest(message, from)
   }
 
   /** Only compares clocks: a message whose age may be wrong is not applied, since its age would spread to all daemons; all of it is sent again later. */
   function compareClocks (message: wire.Message, from: string): void {
-    const sentAt = message.type === 'digest' ? message.header.sentAt : message.type === 'heartbeat' || message.type === 'news' ? message.sentAt : null
+    const sentAt = message.type === 'digest' ? message.header.sentAt : message.type === 'heartbeat' || message.type === 'engine-report' ? message.sentAt : null
     const aheadMs = sentAt === null ? null : compareClock(from, sentAt, now())
     if (aheadMs !== null) options.clock.recordPeerOffset(from, aheadMs)
   }
@@ -174,7 +174,7 @@
     return versions.map((each) => ({ ...each, ageMs: each.ageMs + delayMs }))
   }
 
-  function noteEngineReport ({ engine, sentAt }: wire.Message & { type: 'news' }, from: string): void {
+  function noteEngineReport ({ engine, sentAt }: wire.Message & { type: 'engine-report' }, from: string): void {
     const member = table.get(from)
     if (member === undefined) {
       options.onDrop?.('unknown-sender')
